--- a/packages/relay/src/http/__tests__/callHttp.test.ts
+++ b/packages/relay/src/http/__tests__/callHttp.test.ts
@@ -16,7 +16,7 @@
   server.close();
 });
 
-/** Makes one call to a server that answers as `answer` does. */
+/** Calls a server whose responses `answer` writes. */
 async function call(
   answer: (response: ServerResponse) => void,
 ): Promise<HttpReply> {
@@ -33,7 +33,7 @@
   });
 }
 
-/** Sends a body part by part; the last ones never come when `stalls`. */
+/** Sends a body in parts; with `stalls` it stops after the second one. */
 function sendSlowly(response: ServerResponse, stalls: boolean): void {
   let sent = 0;
   const timer = setInterval(() => {
@@ -47,7 +47,7 @@
 }
 
 describe('callHttp', () => {
-  it('takes a body that keeps coming, though it lasts longer than the wait', async () => {
+  it('accepts a body that makes progress although it takes longer than the timeout', async () => {
     const reply = await call((response) => sendSlowly(response, false));
     expect(reply).toMatchObject({kind: 'answered', body: 'part'.repeat(PARTS)});
     if (reply.kind !== 'answered') return;
@@ -55,12 +55,12 @@
     expect(reply.transfer.tookMs).toBeGreaterThan(TIMEOUT_MS);
   });
 
-  it('gives up a body that stops coming', async () => {
+  it('aborts a body that stalls', async () => {
     const reply = await call((response) => sendSlowly(response, true));
     expect(reply).toEqual({kind: 'unanswered', detail: 'the answer stalled'});
   });
 
-  it('gives up when no head comes', async () => {
+  it('times out when no response head arrives', async () => {
     const reply = await call(() => {});
     expect(reply).toEqual({
       kind: 'unanswered',
--- a/packages/relay/src/http/__tests__/sendToEndpoint.test.ts
+++ b/packages/relay/src/http/__tests__/sendToEndpoint.test.ts
@@ -9,8 +9,10 @@
 
 afterEach(() => server?.close());
 
-/** An endpoint that answers each connection's first bytes with `answer`. */
-async function endpoint(answer: (socket: Socket) => void): Promise<number> {
+/** Starts an endpoint that calls `answer` once it receives bytes; resolves with its port. */
+async function startEndpoint(
+  answer: (socket: Socket) => void,
+): Promise<number> {
   server = createServer((socket) => {
     socket.on('error', () => {});
     socket.once('data', () => answer(socket));
@@ -30,7 +32,7 @@
   });
 }
 
-async function isWhole(outcome: SendOutcome): Promise<boolean> {
+async function isComplete(outcome: SendOutcome): Promise<boolean> {
   if (outcome.kind !== 'answered') return false;
   const read = await readBody(outcome.response, 1_000);
   return read.kind === 'whole' && !(await outcome.isReset());
@@ -41,49 +43,51 @@
 
 describe('sendToEndpoint', () => {
   describe('an answer without a length', () => {
-    it('is whole when its connection is closed', async () => {
-      const port = await endpoint((socket) => socket.end(UNFRAMED));
-      expect(await isWhole(await send(port))).toBe(true);
+    it('is complete when its connection is closed', async () => {
+      const port = await startEndpoint((socket) => socket.end(UNFRAMED));
+      expect(await isComplete(await send(port))).toBe(true);
     });
 
-    it('is not whole when the reset comes with the last bytes', async () => {
-      const port = await endpoint((socket) => {
+    it('is incomplete when a reset arrives with the last bytes', async () => {
+      const port = await startEndpoint((socket) => {
         socket.write(UNFRAMED);
         socket.resetAndDestroy();
       });
-      expect(await isWhole(await send(port))).toBe(false);
+      expect(await isComplete(await send(port))).toBe(false);
     });
 
-    it('is not whole when the reset comes later', async () => {
-      const port = await endpoint((socket) => {
+    it('is incomplete when a reset arrives later', async () => {
+      const port = await startEndpoint((socket) => {
         socket.write(UNFRAMED);
         setTimeout(() => socket.resetAndDestroy(), 30);
       });
-      expect(await isWhole(await send(port))).toBe(false);
+      expect(await isComplete(await send(port))).toBe(false);
     });
   });
 
   describe('an answer with a length', () => {
-    it('is not whole when its connection is closed early', async () => {
-      const port = await endpoint((socket) => socket.end(FRAMED));
-      expect(await isWhole(await send(port))).toBe(false);
+    it('is incomplete when its connection is closed early', async () => {
+      const port = await startEndpoint((socket) => socket.end(FRAMED));
+      expect(await isComplete(await send(port))).toBe(false);
     });
   });
 
-  describe('the verdict on a send without an answer', () => {
+  describe('the outcome of a send without an answer', () => {
     it('is "not sent" when nothing listens', async () => {
-      const port = await endpoint(() => {});
+      const port = await startEndpoint(() => {});
       await new Promise((resolve) => server!.close(resolve));
       expect((await send(port)).kind).toBe('notSent');
     });
 
     it('is "no answer" when the connection is reset', async () => {
-      const port = await endpoint((socket) => socket.resetAndDestroy());
+      const port = await startEndpoint((socket) => socket.resetAndDestroy());
       expect((await send(port)).kind).toBe('noAnswer');
     });
 
-    it('is "no answer" for bytes that are no answer', async () => {
-      const port = await endpoint((socket) => socket.end('nonsense\r\n\r\n'));
+    it('is "no answer" for bytes that are not HTTP', async () => {
+      const port = await startEndpoint((socket) =>
+        socket.end('nonsense\r\n\r\n'),
+      );
       expect((await send(port)).kind).toBe('noAnswer');
     });
   });
--- a/packages/relay/src/http/callHttp.ts
+++ b/packages/relay/src/http/callHttp.ts
@@ -4,37 +4,37 @@
 import type {EndpointAddress} from '../model/index.js';
 
 /**
- * Longest pause between two parts of an answer's body: a few round trips and a
- * segment that is sent again. A body that keeps coming is waited for, as one that is
- * given up midway is asked for again and fills the link a second time.
+ * Maximum pause between two chunks of a response body: a few round trips and one TCP
+ * retransmission. A body that makes progress is not aborted, because the caller would
+ * request it again and load the link a second time.
  */
-const STALL_MS = 700;
+const BODY_STALL_TIMEOUT_MS = 700;
 
-/** Longest time for a body in all: 4 MB on the smallest link known, 7 Mbit/s. */
-const LONGEST_BODY_MS = 5_000;
+/** Time limit for a whole body: 4 MB over the slowest known link, 7 Mbit/s. */
+const BODY_TIMEOUT_MS = 5_000;
 
-/** One short HTTP call with a text body. */
+/** A short HTTP request with a text body. */
 export interface HttpCall {
   readonly address: EndpointAddress;
   readonly method: string;
   readonly path: string;
   readonly body?: string;
-  /** Longest wait for the head of the answer. */
+  /** Time limit for the response head. */
   readonly timeoutMs: number;
   readonly agent?: Agent;
   readonly signal?: AbortSignal;
-  /** Called when the head of an answer has come. */
+  /** Called when the response head arrives. */
   readonly begun?: () => void;
 }
 
-/** How the body of an answer came over the network. */
+/** Size and duration of the transfer of a response body. */
 export interface BodyTransfer {
   readonly bytes: number;
-  /** From the head of the answer to the last byte of its body. */
+  /** From the response head to the last byte of the body. */
   readonly tookMs: number;
 }
 
-/** An answer in full, or none: then the call may have taken effect. */
+/** A complete response, or none; without one the call may still have taken effect. */
 export type HttpReply =
   | {
       readonly kind: 'answered';
@@ -44,7 +44,7 @@
     }
   | {readonly kind: 'unanswered'; readonly detail: string};
 
-/** Makes one call; never rejects. */
+/** Makes one HTTP call. Never rejects. */
 export function callHttp(call: HttpCall): Promise<HttpReply> {
   return new Promise((resolve) => {
     const {address, method, path, body} = call;
@@ -62,19 +62,22 @@
       agent: call.agent,
       signal: call.signal,
     });
-    let timer = giveUpAfter(
+    let timer = destroyAfter(
       call.timeoutMs,
       `no answer in ${call.timeoutMs} ms`,
     );
 
-    function giveUpAfter(delayMs: number, detail: string): NodeJS.Timeout {
+    function destroyAfter(delayMs: number, detail: string): NodeJS.Timeout {
       return setTimeout(() => outgoing.destroy(new Error(detail)), delayMs);
     }
 
-    function noteProgress(headAtMs: number): void {
+    function restartTimer(headAtMs: number): void {
       clearTimeout(timer);
-      const leftMs = headAtMs + LONGEST_BODY_MS - systemClock.nowMs();
-      timer = giveUpAfter(Math.min(STALL_MS, leftMs), 'the answer stalled');
+      const leftMs = headAtMs + BODY_TIMEOUT_MS - systemClock.nowMs();
+      timer = destroyAfter(
+        Math.min(BODY_STALL_TIMEOUT_MS, leftMs),
+        'the answer stalled',
+      );
     }
 
     function finish(reply: HttpReply): void {
@@ -89,10 +92,10 @@
       const headAtMs = systemClock.nowMs();
       const chunks: Buffer[] = [];
       call.begun?.();
-      noteProgress(headAtMs);
+      restartTimer(headAtMs);
       response.on('data', (chunk: Buffer) => {
         chunks.push(chunk);
-        noteProgress(headAtMs);
+        restartTimer(headAtMs);
       });
       response.on('error', (error) => {
         finish({kind: 'unanswered', detail: error.message});
--- a/packages/relay/src/http/callerServer.ts
+++ b/packages/relay/src/http/callerServer.ts
@@ -2,13 +2,16 @@
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {ClientLimits} from '../model/index.js';
 
-/** Heads are bounded by the configuration; this is what the parser reads. */
+/** Limit of the HTTP parser; the configuration sets the limit that applies to callers. */
 const MAX_PARSED_HEAD_BYTES = 128 * 1024;
 
-/** Clients may reuse a connection up to the limit; we close a little later. */
+/**
+ * Added to the configured idle timeout: clients may reuse a connection until that timeout,
+ * so the server closes it slightly later.
+ */
 const IDLE_MARGIN_MS = 1_000;
 
-/** Until a configuration is known. */
+/** Used until a configuration is loaded. */
 const DEFAULT_LIMITS: ClientLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 1_048_576,
@@ -16,16 +19,16 @@
   idleTimeoutMs: 15_000,
 };
 
-/** How often connections are looked at for slow heads. */
+/** How often connections are checked for request heads that take too long. */
 const TIMEOUT_CHECK_MS = 500;
 
-/** The server for callers, on plain HTTP/1.1. */
+/** The HTTP/1.1 server for callers, without TLS. */
 export interface CallerServer {
   readonly server: Server;
   setLimits(limits: ClientLimits): void;
 }
 
-/** Creates the server; it does not listen yet. */
+/** Creates the server without starting to listen. */
 export function createCallerServer(
   handle: (request: IncomingMessage, response: ServerResponse) => void,
 ): CallerServer {
@@ -49,7 +52,7 @@
   return callerServer;
 }
 
-/** Bytes of a request's head as the configuration counts them. */
+/** Size of a request head in bytes, as counted against `maxHeaderBytes`. */
 export function headBytes(request: IncomingMessage): number {
   let size = request.method!.length + request.url!.length + 12;
   for (const text of request.rawHeaders) size += text.length + 2;
--- a/packages/relay/src/http/hasEnded.ts
+++ b/packages/relay/src/http/hasEnded.ts
@@ -2,25 +2,25 @@
 import type {EndpointAddress} from '../model/index.js';
 import {RESET_CODES} from './sendToEndpoint.js';
 
-/** An instance that is there accepts or refuses within milliseconds; silence says nothing. */
+/** A reachable instance accepts or refuses within milliseconds; a timeout proves nothing. */
 const CONNECT_TIMEOUT_MS = 100;
 
-/** What stands before an endpoint that has ended closes a connection within this time. */
+/** A proxy or supervisor in front of an ended endpoint closes connections within this time. */
 const HELD_OPEN_MS = 20;
 
 /**
- * Whether nothing stands behind an address any more though the instance is there: the
- * endpoint's process has ended. Its port refuses connections then, or what holds the port,
- * a proxy or a supervisor, closes them at once. An endpoint that goes on keeps an idle one
- * open; one that cannot be reached is not known to have ended.
+ * Probes whether the endpoint's process has ended while its instance is still reachable. The
+ * port then refuses connections, or a proxy or supervisor that holds the port closes them at
+ * once. A running endpoint keeps an idle connection open. An unreachable endpoint is not
+ * reported as ended.
  */
 export function hasEnded({host, port}: EndpointAddress): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = connect({host, port, timeout: CONNECT_TIMEOUT_MS});
     let heldOpen: NodeJS.Timeout | undefined;
-    const finish = (isEnd: boolean): void => {
+    const finish = (result: boolean): void => {
       clearTimeout(heldOpen);
-      resolve(isEnd);
+      resolve(result);
       socket.destroy();
     };
     socket.once('connect', () => {
@@ -28,7 +28,7 @@
     });
     socket.once('timeout', () => finish(false));
     socket.once('end', () => finish(true));
-    // Later errors come of ending the probe.
+    // Errors after the first result are caused by closing the probe.
     socket.on('error', ({code}: NodeJS.ErrnoException) => {
       finish(RESET_CODES.has(code ?? ''));
     });
--- a/packages/relay/src/http/metricsServer.ts
+++ b/packages/relay/src/http/metricsServer.ts
@@ -6,7 +6,7 @@
 
 const METRICS_PATH = '/metrics';
 
-/** Answers `/metrics` in the text form that Prometheus reads; 404 else. */
+/** Answers `/metrics` in the Prometheus text format, and any other path with 404. */
 export async function answerMetrics(
   registry: Registry,
   request: IncomingMessage,
@@ -20,7 +20,7 @@
   response.writeHead(200, {'content-type': registry.contentType}).end(text);
 }
 
-/** Serves the metrics of this process at an address of their own. */
+/** Starts a server for the metrics of this process at a separate address. */
 export function startMetricsServer(
   registry: Registry,
   address: EndpointAddress,
@@ -29,7 +29,7 @@
   const server = createServer((request, response) => {
     void answerMetrics(registry, request, response);
   });
-  // Requests are served without metrics rather than not at all.
+  // A failure of the metrics server must not stop the process from serving requests.
   server.on('error', (error) => {
     log.error('metrics.notServed', {error: error.message});
   });
--- a/packages/relay/src/http/readBody.ts
+++ b/packages/relay/src/http/readBody.ts
@@ -1,12 +1,12 @@
 import type {IncomingMessage} from 'node:http';
 
-/** A body read to its end, or why it is not whole. */
+/** A complete body, or the reason why it is incomplete. */
 export type BodyOutcome =
   | {readonly kind: 'whole'; readonly body: Buffer}
   | {readonly kind: 'tooLarge'}
   | {readonly kind: 'cut'; readonly detail: string};
 
-/** Reads a body of at most `maxBytes`; never rejects. */
+/** Reads a body of at most `maxBytes`. Never rejects. */
 export function readBody(
   message: IncomingMessage,
   maxBytes: number,
@@ -28,7 +28,7 @@
       if (!message.complete) {
         return resolve({kind: 'cut', detail: 'short body'});
       }
-      resolve({kind: 'whole', body: joined(chunks)});
+      resolve({kind: 'whole', body: concatChunks(chunks)});
     });
     message.on('error', (error) => {
       resolve({kind: 'cut', detail: error.message});
@@ -39,6 +39,6 @@
   });
 }
 
-function joined(chunks: readonly Buffer[]): Buffer {
+function concatChunks(chunks: readonly Buffer[]): Buffer {
   return chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks);
 }
--- a/packages/relay/src/http/sendToEndpoint.ts
+++ b/packages/relay/src/http/sendToEndpoint.ts
@@ -3,29 +3,29 @@
 import type {EndpointAddress} from '../model/index.js';
 
 /**
- * A new connection for each send: what an endpoint writes after an answer, or
- * too late, then belongs to no other request, and no send meets a connection
- * that is just being closed for idleness. It costs about a millisecond.
+ * Opens a new connection for each send, at a cost of about a millisecond. Bytes that an
+ * endpoint writes late or after its answer then cannot be taken for another request's
+ * answer, and no send uses a connection that the endpoint is closing as idle.
  */
 const agent = new Agent({keepAlive: false, noDelay: true});
 
 /**
- * Longest wait for a connection. Endpoints accept within milliseconds; nothing
- * was sent before that, so another endpoint may be tried without risk.
+ * Endpoints accept connections within milliseconds. Nothing has been sent before the
+ * connection is open, so trying another endpoint afterwards is safe.
  */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** Largest head of an answer; the engines' own heads are far below. */
+/** Maximum size of a response head; those of the engines are far smaller. */
 const MAX_ANSWER_HEAD_BYTES = 32 * 1024;
 
-/** Codes by which the other side, and not the way there, ended a connection. */
+/** Error codes that show that the remote host, not the network, ended the connection. */
 export const RESET_CODES: ReadonlySet<string> = new Set([
   'ECONNRESET',
   'ECONNREFUSED',
   'EPIPE',
 ]);
 
-/** One request on its way to an endpoint. */
+/** A request to send to an endpoint. */
 export interface EndpointSend {
   readonly address: EndpointAddress;
   readonly method: string;
@@ -35,34 +35,34 @@
   readonly signal: AbortSignal;
 }
 
-/** What became of a send until the head of its answer. */
+/** Result of a send, up to the response head. */
 export type SendOutcome =
-  /** No connection: the request cannot have run. */
+  /** No connection was opened: the request cannot have run. */
   | {
       readonly kind: 'notSent';
       readonly detail: string;
       readonly isReset: boolean;
     }
-  /** Sent, and no head came: the request may have run. */
+  /** Sent, but no response head arrived: the request may have run. */
   | {
       readonly kind: 'noAnswer';
       readonly detail: string;
-      /** True when the endpoint's side ended or refused the connection. */
+      /** True when the endpoint's host reset or refused the connection. */
       readonly isReset: boolean;
     }
   | {
       readonly kind: 'answered';
       readonly response: IncomingMessage;
-      /** Ends the connection, and with it the endpoint's work. */
+      /** Closes the connection, which makes the endpoint stop its work. */
       readonly cancel: () => void;
       /**
-       * Whether the connection was reset. An answer without a length that ends
-       * like that is not whole, although the parser takes it so.
+       * Whether the connection was reset. An answer without a length is incomplete then,
+       * although the HTTP parser reports it as complete.
        */
       readonly isReset: () => Promise<boolean>;
     };
 
-/** Sends one request; never rejects. Aborting the signal ends the connection. */
+/** Sends one request. Never rejects. Aborting the signal closes the connection. */
 export function sendToEndpoint(send: EndpointSend): Promise<SendOutcome> {
   return new Promise((resolve) => {
     let isConnected = false;
@@ -99,22 +99,24 @@
       resolve({kind, detail: error.message, isReset});
     });
     outgoing.on('response', (response) => {
-      const probed = isUnframed(response) ? probeAtEnd(response) : undefined;
-      // Without a listener a later reset would end the process.
+      const wasReset = isDelimitedByClose(response)
+        ? detectResetAtEnd(response)
+        : undefined;
+      // A later reset without an error listener would crash the process.
       response.on('error', () => {});
       resolve({
         kind: 'answered',
         response,
         cancel: () => outgoing.destroy(),
-        isReset: async () => hasFailed || ((await probed?.()) ?? false),
+        isReset: async () => hasFailed || ((await wasReset?.()) ?? false),
       });
     });
     outgoing.end(send.body);
   });
 }
 
-/** True for an answer whose end is the end of its connection. */
-function isUnframed(response: IncomingMessage): boolean {
+/** True for an answer whose body ends only when the connection closes. */
+function isDelimitedByClose(response: IncomingMessage): boolean {
   const {headers} = response;
   return (
     headers['content-length'] === undefined &&
@@ -123,12 +125,12 @@
 }
 
 /**
- * Finds out at the end of a connection whether it was closed or reset. When
- * the last bytes and a reset are read at once, Node.js tells of an end only
- * (libuv takes a hang-up after a partial read for one), but a write then fails.
- * The endpoint has closed its side, so that the empty line reaches nobody.
+ * Detects whether a connection that ended was closed or reset. When the last bytes and a
+ * reset are read together, Node.js reports only an end (libuv treats a hang-up after a
+ * partial read as one), but a write then fails. The endpoint has already closed its side,
+ * so it never receives the empty line written here.
  */
-function probeAtEnd(response: IncomingMessage): () => Promise<boolean> {
+function detectResetAtEnd(response: IncomingMessage): () => Promise<boolean> {
   const {socket} = response;
   let probe: Promise<boolean> | undefined;
   socket.prependOnceListener('end', () => {
