--- a/packages/relay/src/requests/__tests__/admissionQueue.test.ts
+++ b/packages/relay/src/requests/__tests__/admissionQueue.test.ts
@@ -24,7 +24,7 @@
 ): Promise<Admission<string>> {
   const arrivedMs = clock.nowMs();
   return queue.admit({
-    place: {
+    position: {
       organisationRank,
       routeRank,
       inTimeUntilMs: arrivedMs + 1_100,
@@ -32,7 +32,7 @@
     },
     tokens: 3_000,
     signal,
-    tryTake() {
+    tryReserve() {
       if (room === 0) return undefined;
       room--;
       order.push(name);
@@ -63,7 +63,7 @@
     expect(order).toEqual(['a', 'b', 'c', 'd']);
   });
 
-  it('gives up when room is no longer likely to come in time', async () => {
+  it('refuses a request once room is unlikely to become free in time', async () => {
     let admission: Admission<string> | undefined;
     void wait('a').then((result) => {
       admission = result;
@@ -76,8 +76,8 @@
     expect(queue.length).toBe(0);
   });
 
-  describe('with a mechanism switched off', () => {
-    it('refuses at once without a wait for room', async () => {
+  describe('with a switch turned off', () => {
+    it('refuses at once when waiting for room is off', async () => {
       const switches = {...ALL_ON, waitForRoom: false};
       queue = new AdmissionQueue(clock, () => 0.5, switches);
       expect((await wait('a')).kind).toBe('refused');
@@ -87,20 +87,23 @@
     it.each([
       [true, 2],
       [false, 1],
-    ])('tells different times to return: %s', async (spreadReturns, count) => {
-      const times = new Set<number>();
-      for (const drawn of [0, 0.999]) {
-        const switches = {...ALL_ON, waitForRoom: false, spreadReturns};
-        queue = new AdmissionQueue(clock, () => drawn, switches);
-        const refused = await wait('a');
-        if (refused.kind === 'refused') times.add(refused.retryAfterMs);
-      }
-      expect(times.size).toBe(count);
-    });
+    ])(
+      'spreads the retry delays only when the switch is on: %s',
+      async (spreadReturns, count) => {
+        const times = new Set<number>();
+        for (const drawn of [0, 0.999]) {
+          const switches = {...ALL_ON, waitForRoom: false, spreadReturns};
+          queue = new AdmissionQueue(clock, () => drawn, switches);
+          const refused = await wait('a');
+          if (refused.kind === 'refused') times.add(refused.retryAfterMs);
+        }
+        expect(times.size).toBe(count);
+      },
+    );
   });
 
-  describe('behind a queue that does not move', () => {
-    /** How many of ten newcomers are refused at once. */
+  describe('behind a queue that does not drain', () => {
+    /** How many of ten new requests are refused at once. */
     async function refusedAtOnce(): Promise<number> {
       for (let index = 0; index < 40; index++) void wait(`${index}`);
       await clock.advance(800);
@@ -114,11 +117,11 @@
       return refused;
     }
 
-    it('refuses newcomers at once', async () => {
+    it('refuses most new requests at once', async () => {
       expect(await refusedAtOnce()).toBeGreaterThan(5);
     });
 
-    it('does so too after a long time without a queue', async () => {
+    it('does so also after a long time with an empty queue', async () => {
       room = 2_000;
       for (let index = 0; index < 2_000; index++) {
         await wait(`${index}`);
@@ -128,8 +131,8 @@
     });
   });
 
-  describe('with room that proves to be gone once it was taken', () => {
-    /** How many of ten newcomers are refused at once behind such a queue. */
+  describe('with reserved room that proves to be unavailable', () => {
+    /** How many of ten new requests are refused at once behind such a queue. */
     async function refusedAtOnce(opensRoom: boolean): Promise<number> {
       queue = new AdmissionQueue(clock, () => 0.5);
       for (let index = 0; index < 40; index++) void wait(`${index}`);
@@ -138,7 +141,7 @@
         queue.poke();
         await clock.advance(20);
         if (!opensRoom) continue;
-        queue.noteReturned(3_000);
+        queue.noteWithdrawn(3_000);
         room = 0;
         void wait(`again ${round}`);
       }
@@ -152,14 +155,14 @@
       return refused;
     }
 
-    it('refuses as many at once as where none opens', async () => {
+    it('refuses at least as many at once as when no room becomes free', async () => {
       const withoutRoom = await refusedAtOnce(false);
       expect(withoutRoom).toBeGreaterThan(5);
       expect(await refusedAtOnce(true)).toBeGreaterThanOrEqual(withoutRoom);
     });
   });
 
-  it('takes no room for a caller that has left', async () => {
+  it('reserves no room for a caller that has disconnected', async () => {
     const abort = new AbortController();
     const waiting = wait('a', 0, 0, abort.signal);
     abort.abort();
--- a/packages/relay/src/requests/__tests__/eventSplitter.test.ts
+++ b/packages/relay/src/requests/__tests__/eventSplitter.test.ts
@@ -14,22 +14,22 @@
 const STREAM = 'id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n';
 
 describe('EventSplitter', () => {
-  it('finds events and their ids', () => {
+  it('returns events and their ids', () => {
     expect(split([STREAM])).toEqual({
       ids: ['1', '2', undefined],
       text: STREAM,
     });
   });
 
-  it('keeps part of an event back', () => {
+  it('holds back an incomplete event', () => {
     const splitter = new EventSplitter();
     expect(splitter.feed(Buffer.from('id: 1\ndata: a\n'))).toHaveLength(0);
-    expect(splitter.hasPart).toBe(true);
+    expect(splitter.hasPartialEvent).toBe(true);
     expect(splitter.feed(Buffer.from('\n'))).toHaveLength(1);
-    expect(splitter.hasPart).toBe(false);
+    expect(splitter.hasPartialEvent).toBe(false);
   });
 
-  it('gives the same events however the bytes are cut', () => {
+  it('returns the same events for any chunk boundaries', () => {
     const whole = split([STREAM]);
     fc.assert(
       fc.property(
@@ -45,7 +45,7 @@
     );
   });
 
-  it('gives up on an event without an end', () => {
+  it('throws when an event exceeds the maximum size', () => {
     const splitter = new EventSplitter();
     const part = Buffer.alloc(600 * 1024, 'x');
     splitter.feed(part);
--- a/packages/relay/src/requests/__tests__/requestFingerprint.test.ts
+++ b/packages/relay/src/requests/__tests__/requestFingerprint.test.ts
@@ -27,12 +27,12 @@
 describe('the fingerprint of a request', () => {
   const first = requestFingerprint(asked(), BODY);
 
-  it('is the same for another attempt, whatever its headers', () => {
+  it('is the same for another attempt with other headers', () => {
     const again = asked({requestId: 'a-2', rawHeaders: ['X-Other', '1']});
     expect(requestFingerprint(again, BODY)).toBe(first);
   });
 
-  it('differs with what is asked, by whom, and with what body', () => {
+  it('differs by target, host, method, organisation and body', () => {
     const others = [
       requestFingerprint(asked({target: '/check/?page=2'}), BODY),
       requestFingerprint(asked({host: 'other.example'}), BODY),
--- a/packages/relay/src/requests/admissionQueue.ts
+++ b/packages/relay/src/requests/admissionQueue.ts
@@ -9,27 +9,27 @@
 import {ALL_ON} from '../switches.js';
 import type {Switches} from '../switches.js';
 
-/** How often waiting requests are looked at without a new report. */
-const ROUND_INTERVAL_MS = 40;
+/** How often the queue is processed when no new load report arrives. */
+const RECHECK_INTERVAL_MS = 40;
 
-/** A shortage goes on through pauses up to this long in which nobody waits. */
+/** A shortage continues through pauses up to this long in which no request waits. */
 const SHORTAGE_GAP_MS = 1_000;
 
-/** What a waiting request knows of itself, as of now. */
+/** The current state of a waiting request, used to decide whether it keeps waiting. */
 export type WaiterOutlook = Omit<RoomQuestion, 'expectedWaitMs' | 'shortForMs'>;
 
-/** A request that waits for room, with what it takes to find some. */
+/** A request that waits for room at an engine. */
 export interface Waiter<T> {
-  readonly place: WaitingPlace;
+  readonly position: WaitingPlace;
   readonly signal: AbortSignal;
-  /** Memory that it needs. */
+  /** Engine memory that the request needs. */
   readonly tokens: number;
-  /** Takes room if there is some; called in order of `place`. */
-  tryTake(): T | undefined;
+  /** Reserves room if there is any; called in order of `position`. */
+  tryReserve(): T | undefined;
   outlook(): WaiterOutlook;
 }
 
-/** How a request left the queue. */
+/** Why a request left the queue. */
 export type Admission<T> =
   | {readonly kind: 'taken'; readonly taken: T}
   | {
@@ -39,24 +39,24 @@
     }
   | {readonly kind: 'callerLeft'};
 
-interface Queued<T> {
+interface QueuedWaiter<T> {
   readonly waiter: Waiter<T>;
   readonly settle: (admission: Admission<T>) => void;
 }
 
-/** Requests of one service that wait at this entry for room at an engine. */
+/** Queue of the requests of one service that wait at this entry for room at an engine. */
 export class AdmissionQueue<T> {
-  private queued: Array<Queued<T>> = [];
+  private queued: Array<QueuedWaiter<T>> = [];
   private readonly drain = new DrainRate();
-  /** When somebody was last seen to wait; undefined while nobody does. */
-  private waitedSinceMs: number | undefined;
-  /** Since when room has been short. */
+  /** When the queue was last processed and not emptied; undefined while it is empty. */
+  private lastNonEmptyMs: number | undefined;
+  /** Start of the current or last shortage of room. */
   private shortSinceMs = 0;
-  /** When somebody last waited or was refused. */
+  /** When a request last found no room. */
   private lastShortMs = -Infinity;
   private cancelTimer: (() => void) | undefined;
-  /** Memory that was taken since the last round and proved to be gone. */
-  private returnedTokens = 0;
+  /** Admitted memory that proved to be unavailable, since the queue was last processed. */
+  private withdrawnTokens = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -69,50 +69,55 @@
   }
 
   /**
-   * Room that was taken proved to be gone: nothing was admitted. Counted as admitted it
-   * would make the queue look as if it drained, and its callers wait in vain.
+   * Room that was reserved proved to be unavailable, so nothing was admitted. If it counted
+   * as admitted, the queue would seem to drain and callers would wait in vain.
    */
-  noteReturned(tokens: number): void {
-    this.returnedTokens += tokens;
+  noteWithdrawn(tokens: number): void {
+    this.withdrawnTokens += tokens;
   }
 
-  /** Resolves when room was taken, or is no longer worth waiting for. */
+  /** Resolves when room was reserved, or when waiting is no longer worthwhile. */
   admit(waiter: Waiter<T>): Promise<Admission<T>> {
     return new Promise((resolve) => {
       this.queued.push({waiter, settle: resolve});
-      this.round();
+      this.processQueue();
     });
   }
 
-  /** Something may have become free. */
+  /** Processes the queue again, as room may have become free. */
   poke(): void {
-    if (this.queued.length > 0) this.round();
+    if (this.queued.length > 0) this.processQueue();
   }
 
-  private round(): void {
+  private processQueue(): void {
     this.cancelTimer?.();
     this.cancelTimer = undefined;
     const nowMs = this.clock.nowMs();
     this.queued.sort((a, b) =>
-      compareWaiting(a.waiter.place, b.waiter.place, nowMs),
+      compareWaiting(a.waiter.position, b.waiter.position, nowMs),
     );
-    const {waiting, admittedTokens} = this.takeRoom();
-    // What is admitted while nobody waits says nothing of how a queue drains.
-    if (this.waitedSinceMs !== undefined) {
-      const drainedTokens = admittedTokens - this.returnedTokens;
-      this.drain.note(nowMs - this.waitedSinceMs, drainedTokens);
+    const {waiting, admittedTokens} = this.admitWaiting();
+    // Admissions while no request waits do not show how fast a queue drains.
+    if (this.lastNonEmptyMs !== undefined) {
+      const drainedTokens = admittedTokens - this.withdrawnTokens;
+      this.drain.note(nowMs - this.lastNonEmptyMs, drainedTokens);
     }
-    this.returnedTokens = 0;
-    if (waiting.length > 0) this.noteShort(nowMs);
-    this.queued = this.keepHopeful(waiting, nowMs - this.shortSinceMs);
+    this.withdrawnTokens = 0;
+    if (waiting.length > 0) this.noteShortage(nowMs);
+    this.queued = this.refuseUnlikely(waiting, nowMs - this.shortSinceMs);
     const isEmpty = this.queued.length === 0;
-    this.waitedSinceMs = isEmpty ? undefined : nowMs;
+    this.lastNonEmptyMs = isEmpty ? undefined : nowMs;
     if (isEmpty) return;
-    this.cancelTimer = this.clock.after(ROUND_INTERVAL_MS, () => this.round());
+    this.cancelTimer = this.clock.after(RECHECK_INTERVAL_MS, () =>
+      this.processQueue(),
+    );
   }
 
-  /** Lets all take room who can. */
-  private takeRoom(): {waiting: Array<Queued<T>>; admittedTokens: number} {
+  /** Admits all waiting requests that find room; returns the others. */
+  private admitWaiting(): {
+    waiting: Array<QueuedWaiter<T>>;
+    admittedTokens: number;
+  } {
     let admittedTokens = 0;
     const waiting = this.queued.filter((item) => {
       const {waiter, settle} = item;
@@ -120,7 +125,7 @@
         settle({kind: 'callerLeft'});
         return false;
       }
-      const taken = waiter.tryTake();
+      const taken = waiter.tryReserve();
       if (taken === undefined) return true;
       admittedTokens += waiter.tokens;
       settle({kind: 'taken', taken});
@@ -129,7 +134,7 @@
     return {waiting, admittedTokens};
   }
 
-  private noteShort(nowMs: number): void {
+  private noteShortage(nowMs: number): void {
     if (nowMs > this.lastShortMs + SHORTAGE_GAP_MS) this.shortSinceMs = nowMs;
     this.lastShortMs = nowMs;
   }
@@ -141,11 +146,11 @@
     return decideRoom({...question, goalLeftMs}, random);
   }
 
-  /** Refuses those for whom no room is to be expected in time. */
-  private keepHopeful(
-    waiting: ReadonlyArray<Queued<T>>,
+  /** Refuses the requests that are unlikely to get room in time; returns the others. */
+  private refuseUnlikely(
+    waiting: ReadonlyArray<QueuedWaiter<T>>,
     shortForMs: number,
-  ): Array<Queued<T>> {
+  ): Array<QueuedWaiter<T>> {
     let aheadTokens = 0;
     return waiting.filter(({waiter, settle}) => {
       aheadTokens += waiter.tokens;
--- a/packages/relay/src/requests/awaitView.ts
+++ b/packages/relay/src/requests/awaitView.ts
@@ -4,31 +4,33 @@
 import type {ConfigKeeper} from '../config/configKeeper.js';
 import type {RouteTable} from '../config/routeTable.js';
 import type {CallerExchange} from './callerExchange.js';
-import {hasHome, isAtHome} from './permittedPlaces.js';
+import {hasAllowedRegion, isInAllowedRegion} from './permittedPlaces.js';
 import type {RelayContext} from './relayContext.js';
 
-/** Something that a request needs is not known to this process yet. */
-export interface Missing {
+/** Something that a request needs is not known to this process yet; the caller should retry. */
+export interface Unavailable {
   readonly retryAfterMs: number;
 }
 
-/** A configuration, or when to come back for one. */
-export type TableOrMissing =
+/** The active configuration, or when the caller should retry. */
+export type ConfigResult =
   | {readonly kind: 'known'; readonly table: RouteTable}
-  | ({readonly kind: 'missing'} & Missing);
+  | ({readonly kind: 'missing'} & Unavailable);
 
-/** The configuration in force; right after the start it is waited for. */
+/** Returns the active configuration; right after the start of the process, waits for it. */
 export async function awaitConfig(
   context: RelayContext,
   config: ConfigKeeper,
-): Promise<TableOrMissing> {
+): Promise<ConfigResult> {
   if (config.current === undefined) {
-    const random = returnRandom(context);
-    const decision = decideWithoutConfig(viewFacts(context), random);
+    const random = retryAfterRandom(context);
+    const decision = decideWithoutConfig(storeViewFacts(context), random);
     if (decision.kind === 'refuse') {
       return {kind: 'missing', retryAfterMs: decision.retryAfterMs};
     }
-    await waitFor(context, decision.forMs, (done) => config.onceKnown(done));
+    await waitForNotice(context, decision.forMs, (done) =>
+      config.onceKnown(done),
+    );
   }
   const table = config.current;
   if (table !== undefined) return {kind: 'known', table};
@@ -36,24 +38,24 @@
 }
 
 /**
- * Waits for a first endpoint of the exchange's service if one is likely to come
- * while the caller stays; undefined when there is one.
+ * Waits for an endpoint of the exchange's service if one is likely to register before the
+ * caller gives up. Returns undefined once there is one.
  */
 export async function awaitEndpoint(
   context: RelayContext,
   exchange: CallerExchange,
-): Promise<Missing | undefined> {
+): Promise<Unavailable | undefined> {
   const {endpoints, switches} = context;
   const {service} = exchange.allowed;
   if (canServe(context, exchange)) return undefined;
-  // Only another configuration can change it.
-  if (!hasHome(context, exchange.allowed)) {
+  // Only a new configuration can change this.
+  if (!hasAllowedRegion(context, exchange.allowed)) {
     return {retryAfterMs: context.settings.configApplyMs};
   }
   const decision = decideWithoutEndpoint(
-    viewFacts(context),
-    switches.waitForEndpoints ? exchange.patienceMs : 0,
-    returnRandom(context),
+    storeViewFacts(context),
+    switches.waitForEndpoints ? exchange.answerTimeLeftMs : 0,
+    retryAfterRandom(context),
   );
   context.log.info('request.lacksEndpoint', {
     request: exchange.id,
@@ -64,7 +66,7 @@
   if (decision.kind === 'refuse') {
     return {retryAfterMs: decision.retryAfterMs};
   }
-  await waitFor(
+  await waitForNotice(
     context,
     decision.forMs,
     (done) => endpoints.onceSeen(service, done),
@@ -74,7 +76,7 @@
   return {retryAfterMs: context.settings.heartbeatMs};
 }
 
-/** True when an endpoint may get work, if only as a last resort. */
+/** True when at least one endpoint may get work, even if only as a last resort. */
 function canServe(context: RelayContext, exchange: CallerExchange): boolean {
   const {clock, endpoints, settings} = context;
   const {allowed} = exchange;
@@ -82,33 +84,33 @@
   return [...endpoints.ofService(allowed.service)].some(
     (endpoint) =>
       endpoint.mayGetWork(nowMs, settings.drainMs) &&
-      isAtHome(context, allowed, endpoint),
+      isInAllowedRegion(context, allowed, endpoint),
   );
 }
 
-/** What spreads the times at which refused callers return. */
-export function returnRandom({switches, random}: RelayContext): Random {
+/** Randomness that spreads the retries of refused callers over time. */
+export function retryAfterRandom({switches, random}: RelayContext): Random {
   return switches.spreadReturns ? random : middleOfRange;
 }
 
-function viewFacts(
+function storeViewFacts(
   context: RelayContext,
 ): Parameters<typeof decideWithoutEndpoint>[0] {
   const {heartbeatMs} = context.settings;
   return {...context.endpoints.storeContact, heartbeatMs};
 }
 
-/** Waits until `subscribe` calls back, for `forMs` at the most. */
-async function waitFor(
+/** Waits until `subscribe` calls back, but at most for `forMs`. */
+async function waitForNotice(
   context: RelayContext,
   forMs: number,
   subscribe: (done: () => void) => () => void,
   signal?: AbortSignal,
 ): Promise<void> {
-  const came = new AbortController();
-  const unsubscribe = subscribe(() => came.abort());
+  const notified = new AbortController();
+  const unsubscribe = subscribe(() => notified.abort());
   const signals = signal === undefined ? [] : [signal];
-  const ended = AbortSignal.any([came.signal, ...signals]);
+  const ended = AbortSignal.any([notified.signal, ...signals]);
   await sleep(context.clock, forMs, ended);
   unsubscribe();
 }
--- a/packages/relay/src/requests/callOutcome.ts
+++ b/packages/relay/src/requests/callOutcome.ts
@@ -1,26 +1,29 @@
 import type {AnswerHead} from '../ports.js';
 
-/** Statuses from here on are the endpoint's own failure. */
-export const SERVER_ERROR = 500;
+/** Statuses from this one on report a failure of the endpoint. */
+export const SERVER_ERROR_MIN = 500;
 
-/** How one send ended. */
+/** Result of one send. */
 export type CallOutcome =
   | {readonly kind: 'answer'; readonly head: AnswerHead; readonly body: Buffer}
   | {
       readonly kind: 'notRun';
       readonly detail: string;
-      /** When the caller should come back, if that is known. */
+      /** When the caller should retry, if known. */
       readonly retryAfterMs?: number;
     }
   | {readonly kind: 'mayHaveRun'; readonly detail: string};
 
-/** True for an answer that is no failure of the endpoint. */
-export function isGood(outcome: CallOutcome): boolean {
-  return outcome.kind === 'answer' && outcome.head.status < SERVER_ERROR;
+/** True for an answer that reports no failure of the endpoint. */
+export function isSuccess(outcome: CallOutcome): boolean {
+  return outcome.kind === 'answer' && outcome.head.status < SERVER_ERROR_MIN;
 }
 
-/** An endpoint's own answer before none, and what may have run before not. */
-export function preferred(
+/**
+ * Chooses the outcome to report to the caller: an answer over `mayHaveRun`, and that over
+ * `notRun`.
+ */
+export function preferredOutcome(
   known: CallOutcome | undefined,
   next: CallOutcome,
 ): CallOutcome {
@@ -29,19 +32,19 @@
   return known;
 }
 
-/** The first good outcome, else what is preferred of all. */
-export function firstGood(
+/** Resolves with the first successful outcome, or else with the preferred one of all. */
+export function firstSuccess(
   sends: ReadonlyArray<Promise<CallOutcome>>,
 ): Promise<CallOutcome> {
   return new Promise((resolve) => {
-    let open = sends.length;
+    let pendingCount = sends.length;
     let best: CallOutcome | undefined;
     for (const send of sends) {
       void send.then((outcome) => {
-        open--;
-        best = preferred(best, outcome);
-        if (isGood(outcome)) resolve(outcome);
-        else if (open === 0) resolve(best);
+        pendingCount--;
+        best = preferredOutcome(best, outcome);
+        if (isSuccess(outcome)) resolve(outcome);
+        else if (pendingCount === 0) resolve(best);
       });
     }
   });
--- a/packages/relay/src/requests/callSends.ts
+++ b/packages/relay/src/requests/callSends.ts
@@ -7,49 +7,54 @@
 import {readBody} from '../http/readBody.js';
 import {RequestClass} from '../model/index.js';
 import type {CallerExchange} from './callerExchange.js';
-import {firstGood, isGood, preferred, SERVER_ERROR} from './callOutcome.js';
+import {
+  firstSuccess,
+  isSuccess,
+  preferredOutcome,
+  SERVER_ERROR_MIN,
+} from './callOutcome.js';
 import type {CallOutcome} from './callOutcome.js';
 import {attemptAt} from './endpointAttempt.js';
-import {sendReturnMs, takesSend} from './permittedPlaces.js';
+import {canSendTo, sendLimitRetryMs} from './permittedPlaces.js';
 import type {RelayContext} from './relayContext.js';
-import {takeRepeat} from './takeRepeat.js';
+import {takeRetry} from './takeRepeat.js';
 
-/** Largest answer of a plain service that is held before it is handed on. */
+/** Maximum size of an answer of a non-streaming service, which is buffered as a whole. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
-/** Sends of one request in all; rejections are cheap, but not free. */
-const MOST_SENDS = 4;
+/** Maximum sends of one request, rejected ones included: these are cheap but not free. */
+const MAX_SENDS = 4;
 
-const NOT_AVAILABLE: CallOutcome = {
+const NO_ENDPOINT_AVAILABLE: CallOutcome = {
   kind: 'notRun',
   detail: 'no endpoint is available',
 };
 
-/** The sends of one call: the first, repeats, and one that overtakes. */
+/** The sends of one call: the first one, retries, and hedged sends. */
 export class CallSends {
   count = 0;
   readonly tried = new Set<string>();
   private runs = 0;
-  private lastFailure: CallOutcome | undefined;
+  private bestFailure: CallOutcome | undefined;
 
   constructor(
     private readonly context: RelayContext,
     private readonly exchange: CallerExchange,
   ) {}
 
-  /** The best outcome that could be had. */
+  /** Sends until the call succeeds or no retry is allowed; returns the preferred outcome. */
   async run(): Promise<CallOutcome> {
     for (;;) {
-      const choice = this.next();
+      const choice = this.nextEndpoint();
       if (choice === undefined) break;
-      const outcome = await this.sendAndOvertake(choice);
-      if (isGood(outcome)) return outcome;
-      this.lastFailure = preferred(this.lastFailure, outcome);
-      if (this.exchange.signal.aborted || !this.mayRepeat(outcome)) break;
+      const outcome = await this.sendHedged(choice);
+      if (isSuccess(outcome)) return outcome;
+      this.bestFailure = preferredOutcome(this.bestFailure, outcome);
+      if (this.exchange.signal.aborted || !this.mayRetry(outcome)) break;
     }
-    const failure = this.lastFailure ?? NOT_AVAILABLE;
+    const failure = this.bestFailure ?? NO_ENDPOINT_AVAILABLE;
     if (failure.kind !== 'notRun') return failure;
-    const retryAfterMs = sendReturnMs(this.context, this.exchange.allowed);
+    const retryAfterMs = sendLimitRetryMs(this.context, this.exchange.allowed);
     return {...failure, retryAfterMs};
   }
 
@@ -58,17 +63,17 @@
     return requestClass === RequestClass.IDEMPOTENT;
   }
 
-  private mayRepeat(outcome: CallOutcome): boolean {
+  private mayRetry(outcome: CallOutcome): boolean {
     if (outcome.kind === 'notRun') return true;
     return (
       this.isIdempotent && this.runs < this.exchange.allowed.route.maxAttempts
     );
   }
 
-  /** The next endpoint, if the limits on sends leave one. */
-  private next(): CallChoice | undefined {
+  /** The next endpoint to send to; undefined when the limits on sends allow none. */
+  private nextEndpoint(): CallChoice | undefined {
     const {context, exchange} = this;
-    if (this.count >= MOST_SENDS) return undefined;
+    if (this.count >= MAX_SENDS) return undefined;
     if (context.suspicions.quarantineMs(exchange) !== undefined) {
       return undefined;
     }
@@ -81,25 +86,24 @@
         nowMs: context.clock.nowMs(),
         random: context.random,
         drainMs: context.settings.drainMs,
-        accepts: (endpoint) => takesSend(context, exchange.allowed, endpoint),
+        accepts: (endpoint) => canSendTo(context, exchange.allowed, endpoint),
       },
     );
     if (choice === undefined) return undefined;
-    const isRepeat = this.count > 0;
-    if (isRepeat && !takeRepeat(context, exchange)) return undefined;
+    const isRetry = this.count > 0;
+    if (isRetry && !takeRetry(context, exchange)) return undefined;
     return choice;
   }
 
-  /** Sends to `first`, and to a second endpoint when the first is late. */
-  private async sendAndOvertake(first: CallChoice): Promise<CallOutcome> {
+  /** Sends to `first`, and also to a second endpoint if the first one is slower than usual. */
+  private async sendHedged(first: CallChoice): Promise<CallOutcome> {
     const sending = this.send(first);
-    const mayOvertake =
-      this.isIdempotent && this.context.switches.overtakingReads;
-    if (!mayOvertake) return sending;
+    const mayHedge = this.isIdempotent && this.context.switches.overtakingReads;
+    if (!mayHedge) return sending;
     const isLate = await this.isLate(sending);
     const {maxAttempts} = this.exchange.allowed.route;
     if (!isLate || this.runs >= maxAttempts) return sending;
-    const second = this.next();
+    const second = this.nextEndpoint();
     if (second === undefined) return sending;
     this.context.log.info('call.overtaken', {
       request: this.exchange.id,
@@ -107,7 +111,7 @@
       endpoint: second.endpoint.id,
       ageMs: Math.round(this.exchange.ageMs),
     });
-    return firstGood([sending, this.send(second)]);
+    return firstSuccess([sending, this.send(second)]);
   }
 
   private isLate(sending: Promise<CallOutcome>): Promise<boolean> {
@@ -125,17 +129,17 @@
   private async send(choice: CallChoice): Promise<CallOutcome> {
     const {exchange} = this;
     const {endpoint} = choice;
-    const asSent = {outstanding: endpoint.outstanding, load: endpoint.load};
+    const loadAtSend = {outstanding: endpoint.outstanding, load: endpoint.load};
     this.tried.add(endpoint.id);
     this.count++;
     this.runs++;
     endpoint.outstanding++;
     const permit = this.context.sendLimits.take(endpoint);
     try {
-      const outcome = await this.exchangeWith(permit);
+      const outcome = await this.sendAndReadAnswer(permit);
       if (outcome.kind === 'notRun') this.runs--;
-      if (!isGood(outcome) && !exchange.signal.aborted) {
-        this.logFailure(choice, asSent, outcome);
+      if (!isSuccess(outcome) && !exchange.signal.aborted) {
+        this.logFailure(choice, loadAtSend, outcome);
       }
       return outcome;
     } finally {
@@ -143,7 +147,7 @@
     }
   }
 
-  /** One endpoint's part in the failure, with why it had been chosen. */
+  /** Logs the failure of one send, and the load by which the endpoint was chosen. */
   private logFailure(
     choice: CallChoice,
     asSent: Pick<Endpoint, 'outstanding' | 'load'>,
@@ -170,7 +174,7 @@
     });
   }
 
-  private async exchangeWith(permit: SendPermit): Promise<CallOutcome> {
+  private async sendAndReadAnswer(permit: SendPermit): Promise<CallOutcome> {
     const {context, exchange} = this;
     const {endpoint} = permit;
     const {signal} = exchange;
@@ -197,7 +201,7 @@
         }
         context.suspicions.noteServed(exchange);
         const {head} = attempt;
-        if (head.status >= SERVER_ERROR) endpoint.health.noteFailure(nowMs);
+        if (head.status >= SERVER_ERROR_MIN) endpoint.health.noteFailure(nowMs);
         else this.noteSuccess(endpoint, sentMs);
         return {kind: 'answer', head, body: read.body};
       }
@@ -206,7 +210,7 @@
     }
   }
 
-  /** An answer comes whole, so that nothing tells whether it had begun. */
+  /** Answers of calls arrive in one piece, so it is unknown whether the endpoint had begun. */
   private noteBroken(endpoint: Endpoint, sentMs: number): Promise<void> {
     const {context, exchange} = this;
     return context.suspicions.noteBroken(exchange, endpoint, {
--- a/packages/relay/src/requests/callerExchange.ts
+++ b/packages/relay/src/requests/callerExchange.ts
@@ -5,7 +5,7 @@
 import type {CallerRequest, Organisation, Route} from '../model/index.js';
 import {requestFingerprint} from './requestFingerprint.js';
 
-/** Why an exchange ended before its answer. */
+/** Reasons with which the signal of an exchange is aborted. */
 export const AbortCause = {
   CALLER_LEFT: 'callerLeft',
   TIMED_OUT: 'timedOut',
@@ -13,7 +13,7 @@
 } as const;
 export type AbortCause = (typeof AbortCause)[keyof typeof AbortCause];
 
-/** Who asks for what, after the request was found to be allowed. */
+/** A request that passed authorization, with its route, service and organisation. */
 export interface AllowedRequest {
   readonly request: CallerRequest;
   readonly route: Route;
@@ -23,19 +23,19 @@
   readonly arrivedMs: number;
 }
 
-/** Ranks of a request, 0 first; the organisation's goes before the route's. */
+/** Ranks of a request, 0 first; the organisation's rank is compared before the route's. */
 export interface Urgency {
   readonly organisation: number;
   readonly route: number;
 }
 
-/** One client attempt from its whole request to its final answer. */
+/** One client attempt, from its complete request to its final answer. */
 export class CallerExchange {
-  /** Aborted when the caller leaves, at the timeout, and at the end. */
+  /** Aborted when the caller disconnects, at the timeout, and when the exchange finishes. */
   readonly ended = new AbortController();
   readonly deadlineMs: number;
   private readonly cancelTimer: () => void;
-  private knownFingerprint: string | undefined;
+  private cachedFingerprint: string | undefined;
 
   constructor(
     readonly allowed: AllowedRequest,
@@ -44,8 +44,8 @@
     readonly clock: Clock,
   ) {
     const {request, route, arrivedMs} = allowed;
-    const patienceMs = request.patienceMs ?? Number.POSITIVE_INFINITY;
-    this.deadlineMs = arrivedMs + Math.min(route.timeoutMs, patienceMs);
+    const maxWaitMs = request.patienceMs ?? Number.POSITIVE_INFINITY;
+    this.deadlineMs = arrivedMs + Math.min(route.timeoutMs, maxWaitMs);
     response.on('close', this.handleClose);
     this.cancelTimer = clock.after(this.timeLeftMs, () => {
       this.ended.abort(AbortCause.TIMED_OUT);
@@ -57,17 +57,17 @@
     return this.allowed.request.requestId;
   }
 
-  /** Names what is asked, whichever attempt it is. */
+  /** Identifies the request; the same for each attempt of the caller. */
   get fingerprint(): string {
-    this.knownFingerprint ??= requestFingerprint(this.allowed, this.body);
-    return this.knownFingerprint;
+    this.cachedFingerprint ??= requestFingerprint(this.allowed, this.body);
+    return this.cachedFingerprint;
   }
 
   get signal(): AbortSignal {
     return this.ended.signal;
   }
 
-  /** Why the exchange was ended; undefined while it goes on. */
+  /** Why the exchange was aborted; undefined while it is active. */
   get abortCause(): AbortCause | undefined {
     return this.signal.aborted ? (this.signal.reason as AbortCause) : undefined;
   }
@@ -76,8 +76,11 @@
     return Math.max(0, this.deadlineMs - this.clock.nowMs());
   }
 
-  /** How much longer the caller stays without any answer. */
-  get patienceMs(): number {
+  /**
+   * How much longer the caller waits for the first byte of an answer. Callers of a streaming
+   * route give up earlier when nothing arrives.
+   */
+  get answerTimeLeftMs(): number {
     const {requestClass, silenceLimitMs} = this.allowed.route;
     if (requestClass !== RequestClass.STREAMING) return this.timeLeftMs;
     return Math.min(this.timeLeftMs, Math.max(0, silenceLimitMs - this.ageMs));
@@ -87,7 +90,6 @@
     return this.clock.nowMs() - this.allowed.arrivedMs;
   }
 
-  /** How urgent the request is. */
   get urgency(): Urgency {
     const {organisation, route} = this.allowed;
     return {
@@ -96,7 +98,7 @@
     };
   }
 
-  /** Releases what the exchange holds; sends that still run are cancelled. */
+  /** Removes the timer and the listener, and aborts sends that are still open. */
   finish(): void {
     this.cancelTimer();
     this.response.off('close', this.handleClose);
--- a/packages/relay/src/requests/callerStream.ts
+++ b/packages/relay/src/requests/callerStream.ts
@@ -1,14 +1,14 @@
 import {once} from 'node:events';
 import type {AnswerHead} from '../ports.js';
-import {beginStream} from './answerCaller.js';
+import {startStream} from './answerCaller.js';
 import type {CallerExchange} from './callerExchange.js';
 import type {StreamEvent} from './eventSplitter.js';
 import type {RelayContext} from './relayContext.js';
 import type {ActiveRun} from './runRegistry.js';
 
-/** The caller's side of one generation: events in order, each once. */
+/** Writes the events of one generation to the caller, in order and each exactly once. */
 export class CallerStream {
-  /** True once the caller has the head of the answer. */
+  /** True once the head of the answer was sent to the caller. */
   hasBegun = false;
   firstEventMs: number | undefined;
   longestPauseMs = 0;
@@ -18,26 +18,26 @@
     private readonly exchange: CallerExchange,
   ) {}
 
-  /** Ids rise by one; anything else is a gap, a repeat or another stream. */
-  accepts(run: ActiveRun, event: StreamEvent): boolean {
+  /** Event ids increase by one; any other id means a gap, a duplicate or a different stream. */
+  isNextEvent(run: ActiveRun, event: StreamEvent): boolean {
     if (event.id === undefined || run.lastEventId === undefined) return true;
     return Number(event.id) === Number(run.lastEventId) + 1;
   }
 
-  async hand(
+  async writeEvent(
     run: ActiveRun,
     head: AnswerHead,
     event: StreamEvent,
   ): Promise<void> {
     const {response, signal} = this.exchange;
-    if (!this.hasBegun) this.begin(head);
+    if (!this.hasBegun) this.start(head);
     run.eventsRelayed++;
-    // It goes on here: the other places of its last hand-over are void.
-    run.otherPlaces = undefined;
+    // The run continues here, so the other destinations of its last handover are obsolete.
+    run.remainingHandover = undefined;
     run.lastEventId = event.id ?? run.lastEventId;
     this.notePause(run);
     if (response.write(event.bytes)) return;
-    // Back-pressure: the endpoint waits as long as the caller does not read.
+    // Backpressure: the endpoint is not read until the caller has read what was written.
     await once(response, 'drain', {signal}).catch(() => {});
   }
 
@@ -48,11 +48,11 @@
     run.lastEventAtMs = nowMs;
   }
 
-  begin(head: AnswerHead): void {
+  start(head: AnswerHead): void {
     this.hasBegun = true;
     this.firstEventMs = Math.round(this.exchange.ageMs);
     const {context, exchange} = this;
-    beginStream(exchange.response, context.closing, head);
+    startStream(exchange.response, context.closing, head);
     context.metrics.noteFirstEvent(exchange.allowed.route, exchange.ageMs);
   }
 }
--- a/packages/relay/src/requests/endpointAttempt.ts
+++ b/packages/relay/src/requests/endpointAttempt.ts
@@ -9,14 +9,14 @@
 import type {CallerExchange} from './callerExchange.js';
 import type {RelayContext} from './relayContext.js';
 
-/** What one send brought, up to the head of the answer. */
+/** Result of one send, up to the head of the answer. */
 export type AttemptOutcome =
-  /** The endpoint did not run the request, and never will. */
+  /** The endpoint did not run the request and never will. */
   | {readonly kind: 'notRun'; readonly detail: string}
   | {
       readonly kind: 'mayHaveRun';
       readonly detail: string;
-      /** True when the endpoint's side broke the connection. */
+      /** True when the endpoint's host reset the connection. */
       readonly isBroken: boolean;
     }
   | {
@@ -27,13 +27,15 @@
       readonly isReset: () => Promise<boolean>;
     };
 
-/** Statuses by which a caller is promised that nothing ran. */
-const PROMISE_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses that tell callers that the request was not processed. */
+const NOT_PROCESSED_STATUSES: ReadonlySet<number> = new Set([
+  408, 421, 429, 503,
+]);
 
-/** Terms that differ from one send to the next. */
+/** Parameters that differ between the sends of one request. */
 export type SendOptions = Pick<SendTerms, 'continueFrom' | 'lastEventId'>;
 
-/** Sends the exchange's request to one endpoint and reads the answer's head. */
+/** Sends the exchange's request to one endpoint and reads the head of its answer. */
 export async function attemptAt(
   context: RelayContext,
   exchange: CallerExchange,
@@ -74,7 +76,7 @@
     case 'notSent':
     case 'noAnswer': {
       if (!signal.aborted) {
-        const limit = silentLimitOf(exchange);
+        const limit = noResponseLimitFor(exchange);
         endpoint.health.noteSilence(context.clock.nowMs(), sent.isReset, limit);
       }
       const {detail} = sent;
@@ -83,20 +85,21 @@
       return {kind: 'mayHaveRun', detail, isBroken};
     }
     case 'answered':
-      return toOutcome(context, exchange, endpoint, sent, sentMs);
+      return classifyAnswer(context, exchange, endpoint, sent, sentMs);
   }
 }
 
 /**
- * A generation that is lost costs a hundred calls, and an engine is one of many:
- * the first sign is enough to send the next ones elsewhere.
+ * Number of unanswered sends after which an endpoint counts as unresponsive. It is 1 for
+ * streaming routes: a lost generation costs as much as a hundred calls, and there are many
+ * other engines to send to.
  */
-function silentLimitOf(exchange: CallerExchange): number {
+function noResponseLimitFor(exchange: CallerExchange): number {
   const {requestClass} = exchange.allowed.route;
   return requestClass === RequestClass.STREAMING ? 1 : SILENT_LIMIT;
 }
 
-function toOutcome(
+function classifyAnswer(
   context: RelayContext,
   exchange: CallerExchange,
   endpoint: Endpoint,
@@ -113,29 +116,29 @@
     cancel();
     return {kind: 'notRun', detail: 'another incarnation has the address'};
   }
-  const isForeign =
+  const isForOtherRequest =
     head.requestId === undefined
       ? !head.isNotRun
       : head.requestId !== exchange.id;
-  if (isForeign) {
+  if (isForOtherRequest) {
     endpoint.health.noteFailure(nowMs);
     cancel();
-    return unusable('the answer names another request');
+    return unusableAnswer('the answer names another request');
   }
   context.statements.noteAnswer(endpoint, head, sentMs);
   if (head.isNotRun) {
     response.resume();
     return {kind: 'notRun', detail: `status ${status}`};
   }
-  if (PROMISE_STATUSES.has(status)) {
+  if (NOT_PROCESSED_STATUSES.has(status)) {
     endpoint.health.noteFailure(nowMs);
     cancel();
-    return unusable(`status ${status} without a promise`);
+    return unusableAnswer(`status ${status} without a promise`);
   }
   return {kind: 'answered', head, response, cancel, isReset};
 }
 
-/** An answer came, and cannot be used. */
-function unusable(detail: string): AttemptOutcome {
+/** The outcome for an answer that cannot be used; the request may have run. */
+function unusableAnswer(detail: string): AttemptOutcome {
   return {kind: 'mayHaveRun', detail, isBroken: false};
 }
--- a/packages/relay/src/requests/eventSplitter.ts
+++ b/packages/relay/src/requests/eventSplitter.ts
@@ -1,67 +1,67 @@
-/** Bytes that end the lines of a stream. */
+/** Line terminators of an event stream. */
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 
-/** Largest event that is waited for; beyond it the stream is not one. */
+/** More buffered bytes than this mean that the answer is not an event stream. */
 const MAX_EVENT_BYTES = 1024 * 1024;
 
-/** One whole event of a stream. */
+/** One complete server-sent event. */
 export interface StreamEvent {
-  /** With its blank line. */
+  /** Includes the terminating blank line. */
   readonly bytes: Buffer;
-  /** Its `id` field; undefined when it has none. */
+  /** The `id` field of the event, if present. */
   readonly id?: string;
 }
 
-/** Cuts a stream of bytes into whole events. */
+/** Splits a byte stream into complete server-sent events. */
 export class EventSplitter {
-  private rest: Buffer = Buffer.alloc(0);
-  private scanned = 0;
+  private tail: Buffer = Buffer.alloc(0);
+  private scannedBytes = 0;
 
-  /** True when the stream ends with part of an event. */
-  get hasPart(): boolean {
-    return this.rest.length > 0;
+  /** True when the buffer holds an incomplete event. */
+  get hasPartialEvent(): boolean {
+    return this.tail.length > 0;
   }
 
-  /** Adds bytes and returns the events that they complete. */
+  /** Appends a chunk and returns the events that it completes. */
   feed(chunk: Buffer): StreamEvent[] {
-    this.rest =
-      this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
-    if (this.rest.length > MAX_EVENT_BYTES) throw new Error('event too large');
+    this.tail =
+      this.tail.length === 0 ? chunk : Buffer.concat([this.tail, chunk]);
+    if (this.tail.length > MAX_EVENT_BYTES) throw new Error('event too large');
     const events: StreamEvent[] = [];
     for (;;) {
       const end = this.findEnd();
       if (end === undefined) return events;
-      const bytes = this.rest.subarray(0, end);
-      this.rest = this.rest.subarray(end);
-      this.scanned = 0;
-      events.push({bytes, id: idOf(bytes)});
+      const bytes = this.tail.subarray(0, end);
+      this.tail = this.tail.subarray(end);
+      this.scannedBytes = 0;
+      events.push({bytes, id: parseId(bytes)});
     }
   }
 
-  /** Offset after the next blank line. */
+  /** Offset behind the next blank line; undefined while there is none. */
   private findEnd(): number | undefined {
-    const {rest} = this;
+    const {tail} = this;
     for (;;) {
-      const at = rest.indexOf(LINE_FEED, this.scanned);
-      if (at < 0) {
-        this.scanned = rest.length;
+      const lineFeedAt = tail.indexOf(LINE_FEED, this.scannedBytes);
+      if (lineFeedAt < 0) {
+        this.scannedBytes = tail.length;
         return undefined;
       }
-      let next = at + 1;
-      if (rest[next] === CARRIAGE_RETURN) next++;
-      if (next >= rest.length) {
-        this.scanned = at;
+      let next = lineFeedAt + 1;
+      if (tail[next] === CARRIAGE_RETURN) next++;
+      if (next >= tail.length) {
+        this.scannedBytes = lineFeedAt;
         return undefined;
       }
-      if (rest[next] === LINE_FEED) return next + 1;
-      this.scanned = next;
+      if (tail[next] === LINE_FEED) return next + 1;
+      this.scannedBytes = next;
     }
   }
 }
 
 const ID_FIELD = /(?:^|\n)id: ?([^\r\n]*)/;
 
-function idOf(bytes: Buffer): string | undefined {
+function parseId(bytes: Buffer): string | undefined {
   return ID_FIELD.exec(bytes.toString('latin1'))?.[1];
 }
--- a/packages/relay/src/requests/generationAdmission.ts
+++ b/packages/relay/src/requests/generationAdmission.ts
@@ -18,38 +18,39 @@
 import type {EngineTraits, GenerationSize} from '../model/index.js';
 import type {CallerExchange, Urgency} from './callerExchange.js';
 import type {WaiterOutlook} from './admissionQueue.js';
-import {sendReturnMs, takesSend} from './permittedPlaces.js';
+import {canSendTo, sendLimitRetryMs} from './permittedPlaces.js';
 import {engineUseContext} from './relayContext.js';
 import type {RelayContext} from './relayContext.js';
 
-/** Room for the output of the first seconds, besides the prompt. */
-const GROWTH_TOKENS = 200;
+/** Room required besides the prompt, for the output of the first seconds. */
+const OUTPUT_RESERVE_TOKENS = 200;
 
 /**
- * From here on after SIGTERM a generation begins only if it ends in time whatever
- * its length and its engine's queue: one that is taken later than 3 s must not be cut.
+ * Time after SIGTERM from which a generation is admitted only if it finishes before the
+ * process exits even at its maximum length and wait: a generation accepted later than 3 s
+ * after SIGTERM must not be interrupted.
  */
-const LAST_DRAFT_MS = 2_500;
+const WORST_CASE_CHECK_AFTER_MS = 2_500;
 
-const NONE: ReadonlySet<string> = new Set();
+const NO_ENDPOINTS: ReadonlySet<string> = new Set();
 
-/** Where a generation was admitted, or when its caller should come back. */
-export type AdmittedAt =
+/** The engine that a generation was admitted to, or when its caller should retry. */
+export type AdmissionResult =
   | {readonly kind: 'engine'; readonly permit: SendPermit}
   | {readonly kind: 'refused'; readonly retryAfterMs: number};
 
-/** An engine that was taken, and those that may prove to be better. */
+/** A reservation at one engine, and the candidates to query, one of which may prove better. */
 export interface EngineTaken {
   readonly choice: EngineChoice;
   readonly permit: SendPermit;
-  readonly toAsk: readonly Endpoint[];
+  readonly toQuery: readonly Endpoint[];
 }
 
-/** Finds room at an engine for one generation. */
+/** Finds and reserves room at an engine for one generation. */
 export class GenerationAdmission {
-  private takenTokens = 0;
-  /** What the engine had to read before the first event, and since when. */
-  private toRead:
+  private reservedTokens = 0;
+  /** Prompt tokens that the engine had to prefill before the first event, and since when. */
+  private pendingPrefill:
     {readonly tokens: number; readonly sinceMs: number} | undefined;
 
   constructor(
@@ -59,8 +60,8 @@
     private readonly size: GenerationSize,
   ) {}
 
-  /** True when this process may end before the generation does. */
-  wouldBeCut(): boolean {
+  /** True when this process may exit before the generation finishes. */
+  wouldOutliveProcess(): boolean {
     const {context, exchange, pace, size} = this;
     const {beganAtMs, endsAtMs} = context.closing;
     const nowMs = context.clock.nowMs();
@@ -70,53 +71,53 @@
       promptTokens,
       expectedOutputTokens: size.expectedOutputTokens ?? maxOutputTokens / 2,
       maxOutputTokens,
-      longestSilenceMs: exchange.patienceMs,
+      longestSilenceMs: exchange.answerTimeLeftMs,
     };
-    const isLate = nowMs > beganAtMs + LAST_DRAFT_MS;
-    const ends = isLate ? endsInAnyCase : endsInTime;
-    return !ends(generation, pace);
+    const isWorstCaseChecked = nowMs > beganAtMs + WORST_CASE_CHECK_AFTER_MS;
+    const endsBeforeExit = isWorstCaseChecked ? endsInAnyCase : endsInTime;
+    return !endsBeforeExit(generation, pace);
   }
 
-  /** Waits for room at an engine as long as it is likely to come. */
-  async admit(rejectedBy: ReadonlySet<string>): Promise<AdmittedAt> {
+  /** Waits for room at an engine as long as room is likely to become free in time. */
+  async admit(rejectedBy: ReadonlySet<string>): Promise<AdmissionResult> {
     const {promptTokens} = this.size;
     this.context
       .promptSizesOf(this.exchange.allowed.service)
       .note(promptTokens);
-    const returnMs = sendReturnMs(this.context, this.exchange.allowed);
-    if (returnMs !== undefined && returnMs > this.longestWaitMs) {
-      return {kind: 'refused', retryAfterMs: returnMs};
+    const retryAfterMs = sendLimitRetryMs(this.context, this.exchange.allowed);
+    if (retryAfterMs !== undefined && retryAfterMs > this.longestWaitMs) {
+      return {kind: 'refused', retryAfterMs};
     }
     for (;;) {
       const admitted = await this.tryAdmit(rejectedBy);
-      // Others were faster: what they took is known now, and the wait goes on.
+      // Other requests took the room; their use is known now, so the wait continues.
       if (admitted !== undefined) return admitted;
     }
   }
 
-  /** Undefined where an engine that seemed to have room has none. */
+  /** Resolves with undefined if an engine that seemed to have room has none. */
   private async tryAdmit(
     rejectedBy: ReadonlySet<string>,
-  ): Promise<AdmittedAt | undefined> {
+  ): Promise<AdmissionResult | undefined> {
     const {context, exchange, size} = this;
     const {service} = exchange.allowed;
-    const needTokens = size.promptTokens + GROWTH_TOKENS;
+    const needTokens = size.promptTokens + OUTPUT_RESERVE_TOKENS;
     const admission = await context.admissionOf(service).admit({
-      place: this.place(),
+      position: this.queuePosition(),
       tokens: needTokens,
       signal: exchange.signal,
-      tryTake: () => this.tryTake(rejectedBy),
+      tryReserve: () => this.tryReserve(rejectedBy),
       outlook: () => this.outlook(),
     });
     switch (admission.kind) {
       case 'taken': {
-        const taken = await this.lookAfresh(admission.taken);
-        if (taken === undefined) {
-          context.admissionOf(service).noteReturned(needTokens);
+        const reservation = await this.reserveByFreshLoad(admission.taken);
+        if (reservation === undefined) {
+          context.admissionOf(service).noteWithdrawn(needTokens);
           return undefined;
         }
-        this.logChosen(taken.choice);
-        return {kind: 'engine', permit: taken.permit};
+        this.logChosen(reservation.choice);
+        return {kind: 'engine', permit: reservation.permit};
       }
       case 'refused':
         this.logNoRoom(admission.expectedWaitMs);
@@ -128,8 +129,8 @@
     }
   }
 
-  /** Time in which an engine without other work reads the prompt. */
-  private get readMs(): number {
+  /** Prefill time of the prompt at an idle engine. */
+  private get prefillMs(): number {
     return this.pace.readMs(this.size.promptTokens);
   }
 
@@ -146,36 +147,36 @@
     };
   }
 
-  private place(): WaitingPlace {
+  private queuePosition(): WaitingPlace {
     const {exchange} = this;
     const {route, arrivedMs} = exchange.allowed;
     const {urgency} = this;
     return {
       organisationRank: urgency.organisation,
       routeRank: urgency.route,
-      inTimeUntilMs: arrivedMs + route.latencyGoalMs - this.readMs,
+      inTimeUntilMs: arrivedMs + route.latencyGoalMs - this.prefillMs,
       deadlineMs: exchange.deadlineMs,
     };
   }
 
-  /** What of its reading counts against the goal: no more than is usual. */
-  private get countedReadMs(): number {
+  /** Prefill time that counts against the latency goal: at most that of a usual prompt. */
+  private get countedPrefillMs(): number {
     const {context, exchange, pace, size} = this;
     const sizes = context.promptSizesOf(exchange.allowed.service);
     return pace.readMs(sizes.countedTokens(size.promptTokens));
   }
 
-  /** Longest wait at an engine after which it is as good as in time. */
+  /** Maximum wait at an engine for which the first event counts as within the latency goal. */
   private get longestWaitMs(): number {
     const {ageMs, allowed} = this.exchange;
-    return allowed.route.latencyGoalMs - ageMs - this.countedReadMs;
+    return allowed.route.latencyGoalMs - ageMs - this.countedPrefillMs;
   }
 
   private outlook(): WaiterOutlook {
-    const {exchange, countedReadMs: readMs} = this;
+    const {exchange, countedPrefillMs} = this;
     const {ageMs} = exchange;
     const goalLeftMs = exchange.allowed.route.latencyGoalMs - ageMs;
-    return {waitedMs: ageMs, readMs, goalLeftMs};
+    return {waitedMs: ageMs, readMs: countedPrefillMs, goalLeftMs};
   }
 
   private logChosen(choice: EngineChoice): void {
@@ -195,14 +196,14 @@
     });
   }
 
-  /** What the engines looked like when none had room. */
+  /** Logs the estimated use of the engines when none had room. */
   private logNoRoom(expectedWaitMs: number): void {
     const {context, exchange, size, traits} = this;
-    const staying = [
+    const candidates = [
       ...context.endpoints.ofService(exchange.allowed.service),
     ].filter(({isCandidate}) => isCandidate);
     const uses = [
-      ...estimatedUses(staying, engineUseContext(context)).values(),
+      ...estimatedUses(candidates, engineUseContext(context)).values(),
     ];
     const leastBacklogTokens = Math.min(
       ...uses.map((use) => use.backlogTokens),
@@ -210,7 +211,7 @@
     const limit = fillLimit(this.urgency);
     context.log.warn('generation.noRoom', {
       request: exchange.id,
-      engines: staying.length,
+      engines: candidates.length,
       leastUsedTokens: Math.min(...uses.map(({usedTokens}) => usedTokens)),
       limitTokens: Math.round(limit * traits.memoryTokens),
       leastBacklogTokens,
@@ -226,103 +227,108 @@
     });
   }
 
-  /** Takes room at an engine that suits well, until the run is there. */
-  private tryTake(rejectedBy: ReadonlySet<string>): EngineTaken | undefined {
-    const ranked = this.rank(({id}) => !rejectedBy.has(id));
-    const drawn = this.draw(ranked);
+  /** Reserves room at the best candidate until the run itself is counted there. */
+  private tryReserve(rejectedBy: ReadonlySet<string>): EngineTaken | undefined {
+    const ranked = this.rankWithRoom(({id}) => !rejectedBy.has(id));
+    const drawn = this.drawCandidates(ranked);
     const [choice] = drawn.sort((a, b) => a.score - b.score);
     if (choice === undefined) return undefined;
-    const permit = this.take(choice);
-    return {choice, permit, toAsk: drawn.map(({endpoint}) => endpoint)};
+    const permit = this.reserve(choice);
+    return {choice, permit, toQuery: drawn.map(({endpoint}) => endpoint)};
   }
 
-  /** The engines of which the best is taken; `ranked` has the best first. */
-  private draw(ranked: readonly EngineChoice[]): EngineChoice[] {
+  /** Chooses the engines to query from `ranked`, which has the best first. */
+  private drawCandidates(ranked: readonly EngineChoice[]): EngineChoice[] {
     const {context, exchange} = this;
     if (context.suspicions.isSuspected(exchange)) {
       const nowMs = context.clock.nowMs();
-      const place = suspectPlace(
+      const candidate = suspectPlace(
         ranked.map((choice) => ({
           choice,
           usedTokens: choice.use.usedTokens,
           isDoubted: choice.endpoint.health.isDoubted(nowMs),
         })),
       );
-      return place === undefined ? [] : [place.choice];
+      return candidate === undefined ? [] : [candidate.choice];
     }
     return context.switches.freshLook
       ? drawToAsk(ranked, context.random)
       : ranked.slice(0, 1);
   }
 
-  /** The best of the drawn engines by what they say now. */
-  private async lookAfresh(
+  /**
+   * Queries the current loads of the candidates and moves the reservation to the best one.
+   * Resolves with undefined if none of them has room any more.
+   */
+  private async reserveByFreshLoad(
     taken: EngineTaken,
   ): Promise<EngineTaken | undefined> {
     const {context, exchange, size} = this;
     if (!context.switches.freshLook) return taken;
-    const {permit, toAsk} = taken;
+    const {permit, toQuery} = taken;
     const {promptTokens} = size;
     const prompt = {requestId: exchange.id, promptTokens};
-    await context.askLoads(toAsk, prompt);
+    await context.askLoads(toQuery, prompt);
     this.release(permit.endpoint);
     context.sendLimits.withdraw(permit);
-    const [best] = this.rank((one) => toAsk.includes(one));
-    const others = toAsk.filter((one) => one !== best?.endpoint);
+    const [best] = this.rankWithRoom((endpoint) => toQuery.includes(endpoint));
+    const others = toQuery.filter((endpoint) => endpoint !== best?.endpoint);
     context.releaseLoads(others, prompt);
-    return best && {choice: best, permit: this.take(best), toAsk};
+    return best && {choice: best, permit: this.reserve(best), toQuery};
   }
 
-  /** The engines that have room, the best first. */
-  private rank(accepts: (endpoint: Endpoint) => boolean): EngineChoice[] {
+  /** The engines that have room, best first. */
+  private rankWithRoom(
+    accepts: (endpoint: Endpoint) => boolean,
+  ): EngineChoice[] {
     const {context, exchange, size} = this;
     const endpoints = context.endpoints.ofService(exchange.allowed.service);
-    const needTokens = size.promptTokens + GROWTH_TOKENS;
-    return rankEngines(endpoints, this.traits, needTokens, NONE, {
+    const needTokens = size.promptTokens + OUTPUT_RESERVE_TOKENS;
+    return rankEngines(endpoints, this.traits, needTokens, NO_ENDPOINTS, {
       ...engineUseContext(context),
       pace: this.pace,
       fillLimit: fillLimit(this.urgency),
       keepsRoomForLeaving: context.switches.roomForLeaving,
       maxWaitMs: this.longestWaitMs,
       accepts: (endpoint) =>
-        accepts(endpoint) && takesSend(context, exchange.allowed, endpoint),
+        accepts(endpoint) && canSendTo(context, exchange.allowed, endpoint),
     });
   }
 
-  private take(choice: EngineChoice): SendPermit {
+  private reserve(choice: EngineChoice): SendPermit {
     const {context, size} = this;
-    this.takenTokens = size.promptTokens;
-    choice.endpoint.promisedTokens += this.takenTokens;
-    this.toRead = {
+    this.reservedTokens = size.promptTokens;
+    choice.endpoint.promisedTokens += this.reservedTokens;
+    this.pendingPrefill = {
       tokens: choice.use.backlogTokens + size.promptTokens,
       sinceMs: context.clock.nowMs(),
     };
     return context.sendLimits.take(choice.endpoint);
   }
 
-  /** The engine that was taken gets nothing. */
+  /** Cancels the reservation: nothing is sent to the engine. */
   withdraw(permit: SendPermit): void {
     const {context, exchange, size} = this;
     const {endpoint} = permit;
     const {promptTokens} = size;
     this.release(endpoint);
-    this.toRead = undefined;
+    this.pendingPrefill = undefined;
     context.sendLimits.withdraw(permit);
     context.releaseLoads([endpoint], {requestId: exchange.id, promptTokens});
   }
 
-  /** The generation's first event came from the engine that was taken. */
+  /** The first event arrived from the engine where room was reserved. */
   noteFirstEvent(): void {
-    const {toRead} = this;
-    if (toRead === undefined) return;
-    this.toRead = undefined;
-    const tookMs = this.context.clock.nowMs() - toRead.sinceMs;
-    this.pace.noteRead(toRead.tokens, tookMs);
+    const {pendingPrefill} = this;
+    if (pendingPrefill === undefined) return;
+    this.pendingPrefill = undefined;
+    const tookMs = this.context.clock.nowMs() - pendingPrefill.sinceMs;
+    this.pace.noteRead(pendingPrefill.tokens, tookMs);
   }
 
-  /** Gives back what was taken, once the run itself stands for it. */
+  /** Releases the reserved memory once the run itself is counted, or is not sent. */
   release(endpoint: Endpoint): void {
-    endpoint.promisedTokens -= this.takenTokens;
-    this.takenTokens = 0;
+    endpoint.promisedTokens -= this.reservedTokens;
+    this.reservedTokens = 0;
   }
 }
--- a/packages/relay/src/requests/handleRequest.ts
+++ b/packages/relay/src/requests/handleRequest.ts
@@ -5,7 +5,7 @@
 import type {CallerRequest, EngineTraits} from '../model/index.js';
 import type {ConfigKeeper} from '../config/configKeeper.js';
 import type {RouteTable} from '../config/routeTable.js';
-import {answerOwn, Status} from './answerCaller.js';
+import {answerWithText, Status} from './answerCaller.js';
 import {awaitConfig} from './awaitView.js';
 import {CallerExchange} from './callerExchange.js';
 import type {AllowedRequest} from './callerExchange.js';
@@ -13,8 +13,8 @@
 import {relayGeneration} from './relayGeneration.js';
 import type {RelayContext} from './relayContext.js';
 
-/** A streaming service that says nothing of its engine. */
-const UNKNOWN_ENGINE: EngineTraits = {
+/** Used for a streaming service whose configuration does not describe its engine. */
+const DEFAULT_ENGINE_TRAITS: EngineTraits = {
   slots: 1_024,
   memoryTokens: 1_000_000,
   bytesPerToken: 0,
@@ -24,12 +24,12 @@
   tokensPerEvent: 1,
 };
 
-/** Whether a request may be served, and by what. */
+/** Result of the authorization and routing of a request. */
 type Permission =
   | {readonly kind: 'allowed'; readonly allowed: AllowedRequest}
   | {readonly kind: 'refused'; readonly status: Status; readonly text: string};
 
-/** Handles one request of a caller to its final answer; never rejects. */
+/** Handles one request of a caller up to its final answer. Never rejects. */
 export async function handleRequest(
   context: RelayContext,
   config: ConfigKeeper,
@@ -44,20 +44,20 @@
     incoming.url!,
     incoming.rawHeaders,
   );
-  const found = await awaitConfig(context, config);
-  if (found.kind === 'missing') {
+  const configResult = await awaitConfig(context, config);
+  if (configResult.kind === 'missing') {
     incoming.resume();
-    const {retryAfterMs} = found;
+    const {retryAfterMs} = configResult;
     const text = 'no configuration is known yet';
     refuse(context, request, response, Status.UNAVAILABLE, text, retryAfterMs);
     return;
   }
-  const {table} = found;
-  const permission = permit(table, request, arrivedMs, headBytes(incoming));
+  const {table} = configResult;
+  const permission = authorize(table, request, arrivedMs, headBytes(incoming));
   if (permission.kind === 'refused') {
     incoming.resume();
     const {status, text} = permission;
-    // Only another configuration can change it.
+    // Only a new configuration can change this.
     const retryAfterMs =
       status === Status.UNAVAILABLE
         ? context.settings.configApplyMs
@@ -92,35 +92,35 @@
   }
 }
 
-function permit(
+function authorize(
   table: RouteTable,
   request: CallerRequest,
   arrivedMs: number,
   headSize: number,
 ): Permission {
   if (headSize > table.config.limits.maxHeaderBytes) {
-    return refused(Status.HEAD_TOO_LARGE, 'head too large');
+    return refusal(Status.HEAD_TOO_LARGE, 'head too large');
   }
   const route = table.findRoute(request.host, request.path);
   if (route === undefined) {
-    return refused(Status.NOT_FOUND, 'no route for this host and path');
+    return refusal(Status.NOT_FOUND, 'no route for this host and path');
   }
   const organisation =
     request.apiKey === undefined
       ? undefined
       : table.findOrganisation(request.apiKey);
   if (table.hasKeys && organisation === undefined && !route.isAnonymous) {
-    return refused(Status.UNAUTHORIZED, 'no organisation has this API key');
+    return refusal(Status.UNAUTHORIZED, 'no organisation has this API key');
   }
   const service = table.chooseService(route, request.requestId);
   if (service === undefined) {
-    return refused(Status.UNAVAILABLE, 'the route has no service');
+    return refusal(Status.UNAVAILABLE, 'the route has no service');
   }
   const allowed = {request, route, table, service, organisation, arrivedMs};
   return {kind: 'allowed', allowed};
 }
 
-function refused(status: Status, text: string): Permission {
+function refusal(status: Status, text: string): Permission {
   return {kind: 'refused', status, text};
 }
 
@@ -139,7 +139,7 @@
     status,
     cause: text,
   });
-  answerOwn(response, context.closing, status, text, retryAfterMs);
+  answerWithText(response, context.closing, status, text, retryAfterMs);
 }
 
 async function serve(
@@ -153,7 +153,7 @@
   try {
     if (allowed.route.requestClass === RequestClass.STREAMING) {
       const service = allowed.table.findService(allowed.service);
-      const traits = service?.engine ?? UNKNOWN_ENGINE;
+      const traits = service?.engine ?? DEFAULT_ENGINE_TRAITS;
       await relayGeneration(context, exchange, traits);
     } else {
       await relayCall(context, exchange);
@@ -163,10 +163,10 @@
       request: exchange.id,
       error: error instanceof Error ? error.stack : String(error),
     });
-    // What was sent may have run: the caller gets no promise.
+    // The request may have run, so the answer must not claim that it did not.
     if (response.headersSent) response.destroy();
     else {
-      answerOwn(
+      answerWithText(
         response,
         context.closing,
         Status.BAD_GATEWAY,
--- a/packages/relay/src/requests/handoverPlace.ts
+++ b/packages/relay/src/requests/handoverPlace.ts
@@ -3,39 +3,39 @@
 import type {SendPermit} from '../endpoints/sendLimits.js';
 import type {MemorySource} from '../ports.js';
 import type {CallerExchange} from './callerExchange.js';
-import {isAtHome} from './permittedPlaces.js';
+import {isInAllowedRegion} from './permittedPlaces.js';
 import type {RelayContext} from './relayContext.js';
 import type {ActiveRun} from './runRegistry.js';
 import {takeContinuation} from './takeRepeat.js';
 
-/** Longest wait for the word where a stopped run goes on. */
-const HANDOVER_WAIT_MS = 1_500;
+/** Maximum wait until the destinations of a stopped run are known. */
+const HANDOVER_TIMEOUT_MS = 1_500;
 
-/** Where the next stretch of a generation begins. */
-export interface StretchStart {
+/** Where the next segment of a generation runs. */
+export interface SegmentStart {
   readonly permit: SendPermit;
-  /** Set where it goes on from what was made before. */
+  /** Memory of the previous segment to continue from, if there is any. */
   readonly continueFrom?: MemorySource;
 }
 
-/** Where a run goes on, and from which memory. */
-interface HandoverPlace {
+/** The endpoint that continues a run, and the memory that it continues from. */
+interface HandoverTarget {
   readonly endpoint: Endpoint;
   readonly continueFrom: MemorySource;
 }
 
 /**
- * Where a run that was stopped or cut goes on, within the retry budget and the rests that
- * endpoints ask for. It is sent even where the endpoint's rate is used up.
+ * Finds the endpoint that continues a stopped or interrupted run. Respects the retry budget
+ * and the backoffs that endpoints request, but not the rate limits of endpoints.
  */
-export async function handoverWithinLimits(
+export async function takeHandover(
   context: RelayContext,
   exchange: CallerExchange,
   run: ActiveRun,
-): Promise<StretchStart | undefined> {
-  const place = await handoverPlace(context, exchange, run);
-  if (place === undefined) return undefined;
-  const {endpoint, continueFrom} = place;
+): Promise<SegmentStart | undefined> {
+  const target = await findHandoverTarget(context, exchange, run);
+  if (target === undefined) return undefined;
+  const {endpoint, continueFrom} = target;
   const permit = context.sendLimits.takeContinuation(endpoint);
   if (permit === undefined) return undefined;
   if (takeContinuation(context, exchange)) return {permit, continueFrom};
@@ -43,36 +43,36 @@
   return undefined;
 }
 
-/** The best place that may still take a run which was stopped or cut; waits for the word. */
-async function handoverPlace(
+/** Waits for the destinations of a stopped or interrupted run and returns the best available. */
+async function findHandoverTarget(
   context: RelayContext,
   exchange: CallerExchange,
   run: ActiveRun,
-): Promise<HandoverPlace | undefined> {
+): Promise<HandoverTarget | undefined> {
   const {clock, settings} = context;
   const {handover} = run;
   run.handover = undefined;
-  const word =
+  const offered =
     handover === undefined
-      ? run.otherPlaces
-      : await withinWait(clock, handover);
-  const [endpoint, ...others] = (word?.destinations ?? []).filter(
-    (place) =>
-      place.mayGetWork(clock.nowMs(), settings.drainMs) &&
-      isAtHome(context, exchange.allowed, place),
+      ? run.remainingHandover
+      : await withTimeout(clock, handover);
+  const [endpoint, ...others] = (offered?.destinations ?? []).filter(
+    (candidate) =>
+      candidate.mayGetWork(clock.nowMs(), settings.drainMs) &&
+      isInAllowedRegion(context, exchange.allowed, candidate),
   );
-  if (word === undefined || endpoint === undefined) return undefined;
-  // The other places are tried when the first turns the run away.
-  run.otherPlaces = {destinations: others, source: word.source};
-  return {endpoint, continueFrom: word.source};
+  if (offered === undefined || endpoint === undefined) return undefined;
+  // The remaining destinations are tried if the first one rejects the run.
+  run.remainingHandover = {destinations: others, source: offered.source};
+  return {endpoint, continueFrom: offered.source};
 }
 
-function withinWait<T>(
+function withTimeout<T>(
   clock: Clock,
   promise: Promise<T>,
 ): Promise<T | undefined> {
   return new Promise((resolve) => {
-    const cancel = clock.after(HANDOVER_WAIT_MS, () => resolve(undefined));
+    const cancel = clock.after(HANDOVER_TIMEOUT_MS, () => resolve(undefined));
     void promise.then((value) => {
       cancel();
       resolve(value);
--- a/packages/relay/src/requests/outputMeter.ts
+++ b/packages/relay/src/requests/outputMeter.ts
@@ -1,11 +1,11 @@
 import type {EnginePace} from '@lilacledge/policy';
 
-/** Events that are timed together: one alone may come late, or with another. */
-const TIMED_EVENTS = 8;
+/** Events are timed in groups, as a single one may be delayed or arrive with the next one. */
+const EVENTS_PER_SAMPLE = 8;
 
-/** Times a run's events at one engine for the pace of its service. */
+/** Measures how fast an engine produces a run's events, for the pace of its service. */
 export class OutputMeter {
-  private sinceMs: number | undefined;
+  private sampleStartMs: number | undefined;
   private events = 0;
 
   constructor(
@@ -14,15 +14,15 @@
   ) {}
 
   noteEvent(nowMs: number): void {
-    if (this.sinceMs === undefined) {
-      this.sinceMs = nowMs;
+    if (this.sampleStartMs === undefined) {
+      this.sampleStartMs = nowMs;
       return;
     }
     this.events++;
-    if (this.events < TIMED_EVENTS) return;
+    if (this.events < EVENTS_PER_SAMPLE) return;
     const tokens = this.events * this.tokensPerEvent;
-    this.pace.noteOutput(tokens, nowMs - this.sinceMs);
-    this.sinceMs = nowMs;
+    this.pace.noteOutput(tokens, nowMs - this.sampleStartMs);
+    this.sampleStartMs = nowMs;
     this.events = 0;
   }
 }
--- a/packages/relay/src/requests/permittedPlaces.ts
+++ b/packages/relay/src/requests/permittedPlaces.ts
@@ -1,11 +1,11 @@
 import {isHome, returnAfter} from '@lilacledge/policy';
 import type {Endpoint} from '../endpoints/endpoint.js';
-import {returnRandom} from './awaitView.js';
+import {retryAfterRandom} from './awaitView.js';
 import type {AllowedRequest} from './callerExchange.js';
 import type {RelayContext} from './relayContext.js';
 
-/** True when the homes of a request let an endpoint serve it. */
-export function isAtHome(
+/** True when the endpoint is in a region that the route and the organisation allow. */
+export function isInAllowedRegion(
   context: Pick<RelayContext, 'settings'>,
   {route, organisation}: Pick<AllowedRequest, 'route' | 'organisation'>,
   endpoint: Endpoint,
@@ -14,42 +14,50 @@
   return isHome(region, [route.homes, organisation?.homes]);
 }
 
-/** False when no region of the deployment may serve a request. */
-export function hasHome(
+/** False when the route and the organisation allow no region of the deployment. */
+export function hasAllowedRegion(
   {settings}: Pick<RelayContext, 'settings'>,
   {route, organisation}: Pick<AllowedRequest, 'route' | 'organisation'>,
 ): boolean {
-  const homes = [route.homes, organisation?.homes];
+  const allowedRegions = [route.homes, organisation?.homes];
   const regions = [undefined, ...settings.regions.values()];
-  return regions.some((region) => isHome(region, homes));
+  return regions.some((region) => isHome(region, allowedRegions));
 }
 
-/** True when an endpoint may serve a request, and bears one more send now. */
-export function takesSend(
+/** True when an endpoint may serve a request and its send limit allows one more send now. */
+export function canSendTo(
   context: Pick<RelayContext, 'settings' | 'sendLimits'>,
   allowed: Pick<AllowedRequest, 'route' | 'organisation'>,
   endpoint: Endpoint,
 ): boolean {
   return (
-    isAtHome(context, allowed, endpoint) && context.sendLimits.allows(endpoint)
+    isInAllowedRegion(context, allowed, endpoint) &&
+    context.sendLimits.allows(endpoint)
   );
 }
 
 /**
- * When a caller should return whom no endpoint of the service bears now; undefined where one
- * does, or none is there. Callers who are refused together do not return together.
+ * Retry delay for a caller when the send limits of all endpoints of the service are used up;
+ * undefined when an endpoint allows a send, or when there is none. The delay is randomized so
+ * that callers refused together do not retry together.
  */
-export function sendReturnMs(
+export function sendLimitRetryMs(
   context: RelayContext,
   allowed: AllowedRequest,
 ): number | undefined {
-  let leastMs = Number.POSITIVE_INFINITY;
+  let shortestWaitMs = Number.POSITIVE_INFINITY;
   for (const endpoint of context.endpoints.ofService(allowed.service)) {
-    if (!endpoint.isCandidate || !isAtHome(context, allowed, endpoint)) {
+    if (
+      !endpoint.isCandidate ||
+      !isInAllowedRegion(context, allowed, endpoint)
+    ) {
       continue;
     }
-    leastMs = Math.min(leastMs, context.sendLimits.freeInMs(endpoint));
+    shortestWaitMs = Math.min(
+      shortestWaitMs,
+      context.sendLimits.freeInMs(endpoint),
+    );
   }
-  if (leastMs <= 0 || !Number.isFinite(leastMs)) return undefined;
-  return returnAfter(leastMs, returnRandom(context)).retryAfterMs;
+  if (shortestWaitMs <= 0 || !Number.isFinite(shortestWaitMs)) return undefined;
+  return returnAfter(shortestWaitMs, retryAfterRandom(context)).retryAfterMs;
 }
--- a/packages/relay/src/requests/quarantine.ts
+++ b/packages/relay/src/requests/quarantine.ts
@@ -1,14 +1,14 @@
 import type {CallerExchange} from './callerExchange.js';
 import type {RelayContext} from './relayContext.js';
 
-/** The end of a request that nothing ran, and that is sent nowhere for some time. */
+/** Refusal of a quarantined request: it did not run and is sent to no endpoint for a while. */
 export interface QuarantineRefusal {
   readonly kind: 'notRun';
   readonly detail: string;
   readonly retryAfterMs: number;
 }
 
-/** Refuses a request under which too many endpoints have ended; undefined for others. */
+/** Returns a refusal if too many endpoints crashed under this request, else undefined. */
 export function quarantineRefusal(
   context: Pick<RelayContext, 'suspicions' | 'log'>,
   exchange: CallerExchange,
--- a/packages/relay/src/requests/relayCall.ts
+++ b/packages/relay/src/requests/relayCall.ts
@@ -1,50 +1,53 @@
 import {assertNever} from '@lilacledge/shared';
-import {answerOwn, answerWhole, Status} from './answerCaller.js';
+import {answerWithText, forwardAnswer, Status} from './answerCaller.js';
 import {awaitEndpoint} from './awaitView.js';
 import {AbortCause} from './callerExchange.js';
 import type {CallerExchange} from './callerExchange.js';
-import {isGood} from './callOutcome.js';
+import {isSuccess} from './callOutcome.js';
 import type {CallOutcome} from './callOutcome.js';
 import {CallSends} from './callSends.js';
 import {quarantineRefusal} from './quarantine.js';
 import type {RelayContext} from './relayContext.js';
 
-/** Relays a call of a plain service and answers it whole. */
+/** Relays a call of a non-streaming service and sends its complete answer. */
 export async function relayCall(
   context: RelayContext,
   exchange: CallerExchange,
 ): Promise<void> {
-  if (wouldBeCut(context, exchange)) {
+  if (wouldOutliveProcess(context, exchange)) {
     const detail = 'the entry is leaving';
-    answer(context, exchange, {kind: 'notRun', detail}, []);
+    finishCall(context, exchange, {kind: 'notRun', detail}, []);
     return;
   }
   const missing = await awaitEndpoint(context, exchange);
   if (missing !== undefined) {
     const detail = 'no endpoint is available';
     const {retryAfterMs} = missing;
-    answer(context, exchange, {kind: 'notRun', detail, retryAfterMs}, []);
+    finishCall(context, exchange, {kind: 'notRun', detail, retryAfterMs}, []);
     return;
   }
-  // After the wait, in which the store tells of such requests besides.
+  // Checked after the wait, during which the store may have reported a quarantine.
   const refused = quarantineRefusal(context, exchange);
   if (refused !== undefined) {
-    answer(context, exchange, refused, []);
+    finishCall(context, exchange, refused, []);
     return;
   }
   const sends = new CallSends(context, exchange);
   const outcome = await sends.run();
-  answer(context, exchange, outcome, [...sends.tried]);
+  finishCall(context, exchange, outcome, [...sends.tried]);
 }
 
-/** True when this process may end before the call does. */
-function wouldBeCut(context: RelayContext, exchange: CallerExchange): boolean {
+/** True when this process may exit before the call finishes. */
+function wouldOutliveProcess(
+  context: RelayContext,
+  exchange: CallerExchange,
+): boolean {
   const {longestMs} = context.callTimesOf(exchange.allowed.service);
   const neededMs = Math.min(exchange.timeLeftMs, longestMs);
   return context.clock.nowMs() + neededMs > context.closing.endsAtMs;
 }
 
-function answer(
+function finishCall(
   context: RelayContext,
   exchange: CallerExchange,
   outcome: CallOutcome,
@@ -53,10 +56,10 @@
   const {response, abortCause} = exchange;
   const {closing} = context;
   const {route, service} = exchange.allowed;
-  const isLeft = abortCause === AbortCause.CALLER_LEFT;
-  const verdict = isLeft ? 'callerLeft' : outcome.kind;
+  const hasCallerLeft = abortCause === AbortCause.CALLER_LEFT;
+  const verdict = hasCallerLeft ? 'callerLeft' : outcome.kind;
   context.metrics.noteOutcome(route, verdict, exchange.ageMs);
-  if (isGood(outcome)) {
+  if (isSuccess(outcome)) {
     const ageMs = Math.round(exchange.ageMs);
     const sends = endpoints.length;
     context.log.info('call.served', {request: exchange.id, sends, ageMs});
@@ -73,23 +76,23 @@
       ageMs: Math.round(exchange.ageMs),
     });
   }
-  if (isLeft) return;
+  if (hasCallerLeft) return;
   switch (outcome.kind) {
     case 'answer':
-      answerWhole(response, closing, outcome.head, outcome.body);
+      forwardAnswer(response, closing, outcome.head, outcome.body);
       return;
     case 'notRun': {
-      // Endpoints that were full have a free place after a usual call.
+      // Full endpoints should have a free slot again after the usual duration of a call.
       const retryAfterMs =
         outcome.retryAfterMs ?? context.callTimesOf(service).usualMs;
       const status = Status.UNAVAILABLE;
-      answerOwn(response, closing, status, outcome.detail, retryAfterMs);
+      answerWithText(response, closing, status, outcome.detail, retryAfterMs);
       return;
     }
     case 'mayHaveRun': {
       const isTimeout = abortCause === AbortCause.TIMED_OUT;
       const status = isTimeout ? Status.GATEWAY_TIMEOUT : Status.BAD_GATEWAY;
-      answerOwn(response, closing, status, outcome.detail);
+      answerWithText(response, closing, status, outcome.detail);
       return;
     }
     default:
--- a/packages/relay/src/requests/relayContext.ts
+++ b/packages/relay/src/requests/relayContext.ts
@@ -25,7 +25,7 @@
 import type {EngineTaken} from './generationAdmission.js';
 import type {RunRegistry} from './runRegistry.js';
 
-/** What the handling of a request uses of its process. */
+/** Dependencies and shared state of this process that request handling uses. */
 export interface RelayContext {
   readonly settings: RelaySettings;
   readonly switches: Switches;
@@ -37,35 +37,35 @@
   readonly endpoints: EndpointDirectory;
   readonly statements: EndpointStatements;
   readonly evacuations: ZoneEvacuations;
-  /** What endpoints bear that are cold, or that name a rate. */
+  /** Limits sends to endpoints that are warming up or that announce a rate limit. */
   readonly sendLimits: SendLimits;
-  /** Requests under which endpoints have ended. */
+  /** Requests suspected of crashing endpoints. */
   readonly suspicions: RequestSuspicions;
-  /** Closed while what is known of endpoints may be too old. */
+  /** Closed while the known state of endpoints may be outdated; sends wait until it opens. */
   readonly viewGate: ViewGate;
   readonly closing: ClosingState;
   readonly runs: RunRegistry;
-  /** The budgets for sends beyond the first to endpoints, by service. */
+  /** Budgets for retries and continuations, by service. */
   readonly retryBudgets: RetryBudgets;
-  /** How long the calls of a plain service take. */
+  /** Durations of the calls of a non-streaming service. */
   callTimesOf(service: string): CallTimes;
-  /** How fast the engines of a service work. */
+  /** Measured speed of the engines of a service. */
   paceOf(service: string): EnginePace;
-  /** How long the prompts of a service are. */
+  /** The usual prompt size of a service. */
   promptSizesOf(service: string): PromptSizes;
-  /** The requests that wait for room at a service's engines. */
+  /** The queue of requests that wait for room at a service's engines. */
   admissionOf(service: string): AdmissionQueue<EngineTaken>;
-  /** Entries that serve callers now, this one too. */
+  /** Number of entries that serve callers now, including this one. */
   entryCount(): number;
-  /** Asks engines for their loads as of now; the prompt is counted there. */
+  /** Queries the current loads of engines, which count the prompt from then on. */
   askLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): Promise<void>;
-  /** The prompt that was asked for is not sent to these engines. */
+  /** Tells engines that they will not get the prompt that they were queried for. */
   releaseLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): void;
-  /** Loads of engines whose sidecars do not report here. */
+  /** Loads of engines whose sidecars do not report to this process. */
   readonly zoneLoads: ZoneLoads;
 }
 
-/** What a view of the engines' load needs of the process, as of now. */
+/** The current inputs for estimating the load of engines. */
 export function engineUseContext(context: RelayContext): EngineUseContext {
   return {
     zone: context.settings.zone,
--- a/packages/relay/src/requests/relayGeneration.ts
+++ b/packages/relay/src/requests/relayGeneration.ts
@@ -4,7 +4,7 @@
 import {readBody} from '../http/readBody.js';
 import type {EngineTraits, GenerationSize} from '../model/index.js';
 import type {BrokenSend} from '../suspicions/requestSuspicions.js';
-import {breakOff} from './answerCaller.js';
+import {abortAnswer} from './answerCaller.js';
 import {awaitEndpoint} from './awaitView.js';
 import {AbortCause} from './callerExchange.js';
 import type {CallerExchange} from './callerExchange.js';
@@ -14,27 +14,27 @@
 import {EventSplitter} from './eventSplitter.js';
 import {GenerationAdmission} from './generationAdmission.js';
 import {answerFailure} from './generationEnd.js';
-import type {StretchEnd} from './generationEnd.js';
-import {handoverWithinLimits} from './handoverPlace.js';
-import type {StretchStart} from './handoverPlace.js';
+import type {SegmentEnd} from './generationEnd.js';
+import {takeHandover} from './handoverPlace.js';
+import type {SegmentStart} from './handoverPlace.js';
 import {OutputMeter} from './outputMeter.js';
-import {isAtHome} from './permittedPlaces.js';
+import {isInAllowedRegion} from './permittedPlaces.js';
 import {quarantineRefusal} from './quarantine.js';
 import type {RelayContext} from './relayContext.js';
 import {ActiveRun} from './runRegistry.js';
-import {hasRepeatLeft, takeRepeat} from './takeRepeat.js';
+import {hasRetryBudget, takeRetry} from './takeRepeat.js';
 
-/** Sends of one request that no endpoint ran. */
-const MOST_REJECTED_SENDS = 5;
+/** Maximum number of rejected sends of one request. */
+const MAX_REJECTED_SENDS = 5;
 
-/** Times that one generation goes on at another endpoint. */
-const MOST_CONTINUATIONS = 12;
+/** Maximum number of times that a generation continues at another endpoint. */
+const MAX_CONTINUATIONS = 12;
 
-/** Largest answer that is no stream. */
+/** Maximum size of an answer that is not a stream. */
 const MAX_PLAIN_ANSWER_BYTES = 1024 * 1024;
 
-/** What a request without a size is taken for. */
-const UNKNOWN_SIZE: GenerationSize = {
+/** Assumed size of a request that does not state one. */
+const DEFAULT_SIZE: GenerationSize = {
   promptTokens: 1_000,
   maxOutputTokens: 1_000,
   prefixParts: [],
@@ -42,7 +42,7 @@
 
 type AnsweredAttempt = Extract<AttemptOutcome, {kind: 'answered'}>;
 
-/** Relays one generation, over as many endpoints as it takes. */
+/** Relays one generation, over several endpoints if necessary. */
 export async function relayGeneration(
   context: RelayContext,
   exchange: CallerExchange,
@@ -59,13 +59,13 @@
   private readonly admission: GenerationAdmission;
   private readonly stream: CallerStream;
   private continuations = 0;
-  /** Times that an endpoint may have begun it anew, not from its memory. */
-  private begins = 0;
-  /** True once the head of an answer came for the newest send. */
+  /** Times that an endpoint may have run the generation from its start, without stored memory. */
+  private freshStarts = 0;
+  /** True once the latest send was answered with a response head. */
   private hasAnswerBegun = false;
-  /** Why no engine was taken, when none was. */
-  private refusal = 'no engine has room';
-  /** When room is expected; set when none was found. */
+  /** Reason given to the caller when no engine was chosen. */
+  private refusalDetail = 'no engine has room';
+  /** Retry delay for the caller; set when no engine was chosen. */
   private retryAfterMs: number | undefined;
 
   constructor(
@@ -73,7 +73,7 @@
     private readonly exchange: CallerExchange,
     private readonly traits: EngineTraits,
   ) {
-    this.size = exchange.allowed.request.size ?? UNKNOWN_SIZE;
+    this.size = exchange.allowed.request.size ?? DEFAULT_SIZE;
     this.admission = new GenerationAdmission(
       context,
       exchange,
@@ -84,7 +84,7 @@
   }
 
   async run(): Promise<void> {
-    if (this.admission.wouldBeCut()) {
+    if (this.admission.wouldOutliveProcess()) {
       this.finish({kind: 'notRun', detail: 'the entry is leaving'});
       return;
     }
@@ -100,13 +100,13 @@
       this.finish({kind: 'notRun', detail, retryAfterMs});
       return;
     }
-    let start = await this.choose();
-    let end: StretchEnd = {kind: 'notRun', detail: this.refusal};
+    let start = await this.admit();
+    let end: SegmentEnd = {kind: 'notRun', detail: this.refusalDetail};
     try {
       while (start !== undefined) {
-        end = await this.stretch(start);
+        end = await this.runSegment(start);
         if (this.exchange.signal.aborted) break;
-        start = await this.nextStart(start, end);
+        start = await this.nextSegment(start, end);
       }
     } finally {
       if (this.activeRun !== undefined) {
@@ -116,7 +116,7 @@
     this.finish(end);
   }
 
-  private async choose(): Promise<StretchStart | undefined> {
+  private async admit(): Promise<SegmentStart | undefined> {
     const {admission, context, exchange} = this;
     const admitted = await admission.admit(this.rejectedBy);
     if (admitted.kind === 'refused') {
@@ -124,21 +124,21 @@
       return undefined;
     }
     const {permit} = admitted;
-    // Endpoints may have ended under it elsewhere while it waited for room.
+    // Other entries may have seen it crash endpoints while it waited for room.
     const refused = quarantineRefusal(context, exchange);
     if (refused === undefined) return {permit};
     admission.withdraw(permit);
-    this.refusal = refused.detail;
+    this.refusalDetail = refused.detail;
     this.retryAfterMs = refused.retryAfterMs;
     return undefined;
   }
 
-  /** Where the generation goes on, if it can. */
-  private async nextStart(
-    last: StretchStart,
-    end: StretchEnd,
-  ): Promise<StretchStart | undefined> {
-    // What an engine keeps of it would carry it to the next one.
+  /** Where the generation runs next; undefined if it cannot continue. */
+  private async nextSegment(
+    last: SegmentStart,
+    end: SegmentEnd,
+  ): Promise<SegmentStart | undefined> {
+    // A quarantined request must not reach another engine through its stored memory.
     const {suspicions} = this.context;
     if (suspicions.quarantineMs(this.exchange) !== undefined) return undefined;
     switch (end.kind) {
@@ -146,58 +146,59 @@
       case 'answer':
         return undefined;
       case 'notRun':
-        if (last.continueFrom === undefined) return this.afterRejection(last);
-        return (await this.continuation(end)) ?? this.beginAgain(last);
+        if (last.continueFrom === undefined) return this.startElsewhere(last);
+        return (await this.continueElsewhere(end)) ?? this.startOver(last);
       case 'cut':
-        return (await this.continuation(end)) ?? this.beginAgain(last);
+        return (await this.continueElsewhere(end)) ?? this.startOver(last);
       default:
         return assertNever(end);
     }
   }
 
-  private async afterRejection(
-    last: StretchStart,
-  ): Promise<StretchStart | undefined> {
+  private async startElsewhere(
+    last: SegmentStart,
+  ): Promise<SegmentStart | undefined> {
     this.rejectedBy.add(last.permit.endpoint.id);
-    if (this.rejectedBy.size >= MOST_REJECTED_SENDS) return undefined;
-    return this.chooseWithinBudget();
+    if (this.rejectedBy.size >= MAX_REJECTED_SENDS) return undefined;
+    return this.admitWithinBudget();
   }
 
   /**
-   * A stream that may be resumed was lost with its engine: another one runs it
-   * again and goes on after the caller's last event. Short questions, which are
-   * resumable, cost little to read again; a stream that may not be is lost.
+   * Runs a resumable stream that was lost with its engine again at another one, which
+   * continues after the caller's last event. Resumable prompts are short, so a second prefill
+   * costs little. A stream that is not resumable is lost.
    */
-  private async beginAgain(
-    last: StretchStart,
-  ): Promise<StretchStart | undefined> {
+  private async startOver(
+    last: SegmentStart,
+  ): Promise<SegmentStart | undefined> {
     const {route} = this.exchange.allowed;
     const {signal} = this.exchange;
-    const mayRunAgain = route.isResumable && this.begins < route.maxAttempts;
+    const mayRunAgain =
+      route.isResumable && this.freshStarts < route.maxAttempts;
     if (!mayRunAgain || signal.aborted) return undefined;
     this.rejectedBy.add(last.permit.endpoint.id);
-    return this.chooseWithinBudget();
+    return this.admitWithinBudget();
   }
 
-  private async chooseWithinBudget(): Promise<StretchStart | undefined> {
+  private async admitWithinBudget(): Promise<SegmentStart | undefined> {
     const {context, exchange} = this;
-    if (!hasRepeatLeft(context, exchange)) return undefined;
-    const start = await this.choose();
-    if (start === undefined || takeRepeat(context, exchange)) return start;
+    if (!hasRetryBudget(context, exchange)) return undefined;
+    const start = await this.admit();
+    if (start === undefined || takeRetry(context, exchange)) return start;
     this.admission.withdraw(start.permit);
     return undefined;
   }
 
-  /** The next place of a run that was stopped or cut. */
-  private async continuation(
-    end: StretchEnd & {readonly detail: string},
-  ): Promise<StretchStart | undefined> {
+  /** The endpoint that continues a stopped or interrupted run, if any. */
+  private async continueElsewhere(
+    end: SegmentEnd & {readonly detail: string},
+  ): Promise<SegmentStart | undefined> {
     const run = this.activeRun;
-    if (run === undefined || this.continuations >= MOST_CONTINUATIONS) {
+    if (run === undefined || this.continuations >= MAX_CONTINUATIONS) {
       return undefined;
     }
     const {context, exchange} = this;
-    const next = await handoverWithinLimits(context, exchange, run);
+    const next = await takeHandover(context, exchange, run);
     context.log.info('generation.cut', {
       request: run.requestId,
       endpoint: run.endpoint.id,
@@ -211,11 +212,11 @@
     return next;
   }
 
-  /** Runs the generation at one endpoint until its stream ends there. */
-  private async stretch(start: StretchStart): Promise<StretchEnd> {
+  /** Runs one segment: the generation at one endpoint, until its stream ends there. */
+  private async runSegment(start: SegmentStart): Promise<SegmentEnd> {
     const {context, exchange} = this;
     const {endpoint} = start.permit;
-    const run = this.activate(endpoint);
+    const run = this.assignRun(endpoint);
     endpoint.outstanding++;
     this.hasAnswerBegun = false;
     const sentMs = context.clock.nowMs();
@@ -234,7 +235,7 @@
         },
       );
       if (attempt.kind !== 'notRun' && start.continueFrom === undefined) {
-        this.begins++;
+        this.freshStarts++;
       }
       switch (attempt.kind) {
         case 'notRun':
@@ -251,7 +252,7 @@
       }
       this.hasAnswerBegun = true;
       if (attempt.head.status !== 200) {
-        return await this.readPlain(endpoint, attempt);
+        return await this.readNonStreamAnswer(endpoint, attempt);
       }
       const end = await this.relayEvents(run, attempt);
       if (end.kind === 'complete') endpoint.health.noteSuccess();
@@ -265,14 +266,17 @@
     }
   }
 
-  /** What has sent an event is not what ends engines that begin to run it. */
+  /**
+   * Reports a connection that the endpoint broke. A request that already produced an event is
+   * not suspected, as a crash is attributed to requests that had just begun to run.
+   */
   private async noteBroken(run: ActiveRun, send: BrokenSend): Promise<void> {
     const {context, exchange} = this;
     if (run.eventsRelayed > 0 || exchange.signal.aborted) return;
     await context.suspicions.noteBroken(exchange, run.endpoint, send);
   }
 
-  private activate(endpoint: Endpoint): ActiveRun {
+  private assignRun(endpoint: Endpoint): ActiveRun {
     const {context, exchange, size, traits} = this;
     this.admission.release(endpoint);
     if (this.activeRun !== undefined) {
@@ -286,17 +290,17 @@
       size.expectedOutputTokens ?? size.maxOutputTokens / 2,
       traits.tokensPerEvent,
       context.clock.nowMs(),
-      (place) => isAtHome(context, exchange.allowed, place),
+      (candidate) => isInAllowedRegion(context, exchange.allowed, candidate),
     );
     this.activeRun = run;
     context.runs.add(run);
     return run;
   }
 
-  private async readPlain(
+  private async readNonStreamAnswer(
     endpoint: Endpoint,
     attempt: AnsweredAttempt,
-  ): Promise<StretchEnd> {
+  ): Promise<SegmentEnd> {
     const read = await readBody(attempt.response, MAX_PLAIN_ANSWER_BYTES);
     endpoint.health.noteFailure(this.context.clock.nowMs());
     if (read.kind !== 'whole' || (await attempt.isReset())) {
@@ -309,19 +313,19 @@
   private async relayEvents(
     run: ActiveRun,
     attempt: AnsweredAttempt,
-  ): Promise<StretchEnd> {
+  ): Promise<SegmentEnd> {
     const {head, response} = attempt;
     const splitter = new EventSplitter();
     const meter = this.outputMeter();
     try {
       for await (const chunk of response) {
         for (const event of splitter.feed(chunk as Buffer)) {
-          if (!this.stream.accepts(run, event)) {
+          if (!this.stream.isNextEvent(run, event)) {
             return {kind: 'cut', detail: `event ${event.id} is out of order`};
           }
           if (run.eventsRelayed === 0) this.noteFirstEvent();
           meter.noteEvent(this.context.clock.nowMs());
-          await this.stream.hand(run, head, event);
+          await this.stream.writeEvent(run, head, event);
           if (this.exchange.signal.aborted) {
             return {kind: 'cut', detail: 'the exchange ended'};
           }
@@ -330,10 +334,14 @@
     } catch (error) {
       return {kind: 'cut', detail: String(error)};
     }
-    if (!response.complete || (await attempt.isReset()) || splitter.hasPart) {
+    if (
+      !response.complete ||
+      (await attempt.isReset()) ||
+      splitter.hasPartialEvent
+    ) {
       return {kind: 'cut', detail: 'the stream broke off'};
     }
-    if (!this.stream.hasBegun) this.stream.begin(head);
+    if (!this.stream.hasBegun) this.stream.start(head);
     return {kind: 'complete'};
   }
 
@@ -347,19 +355,19 @@
     return new OutputMeter(pace, this.traits.tokensPerEvent);
   }
 
-  /** The last endpoint's refusal is no promise if another one began to run. */
-  private overall(lastEnd: StretchEnd): StretchEnd {
-    if (lastEnd.kind !== 'notRun' || this.begins === 0) return lastEnd;
+  /** If any endpoint began to run the request, a final `notRun` does not hold for all of them. */
+  private overallEnd(lastEnd: SegmentEnd): SegmentEnd {
+    if (lastEnd.kind !== 'notRun' || this.freshStarts === 0) return lastEnd;
     return {kind: 'cut', detail: lastEnd.detail};
   }
 
-  private finish(lastEnd: StretchEnd): void {
+  private finish(lastEnd: SegmentEnd): void {
     const {context, exchange} = this;
-    const end = this.overall(lastEnd);
+    const end = this.overallEnd(lastEnd);
     const {route} = exchange.allowed;
     const {abortCause, response} = exchange;
-    const isLeft = abortCause === AbortCause.CALLER_LEFT;
-    const verdict = isLeft ? 'callerLeft' : end.kind;
+    const hasCallerLeft = abortCause === AbortCause.CALLER_LEFT;
+    const verdict = hasCallerLeft ? 'callerLeft' : end.kind;
     context.metrics.noteOutcome(route, verdict, exchange.ageMs);
     if (this.stream.hasBegun) {
       context.metrics.notePause(this.stream.longestPauseMs);
@@ -385,8 +393,8 @@
       cause: abortCause,
       detail: end.kind === 'answer' ? `status ${end.head.status}` : end.detail,
     });
-    if (isLeft) return;
-    if (this.stream.hasBegun) breakOff(response);
+    if (hasCallerLeft) return;
+    if (this.stream.hasBegun) abortAnswer(response);
     else answerFailure(context, exchange, end, this.retryAfterMs);
   }
 }
--- a/packages/relay/src/requests/requestFingerprint.ts
+++ b/packages/relay/src/requests/requestFingerprint.ts
@@ -1,12 +1,13 @@
 import {createHash} from 'node:crypto';
 import type {AllowedRequest} from './callerExchange.js';
 
-/** Hex digits that are kept: requests are told apart, not protected by it. */
+/** Length in hex digits; the fingerprint only distinguishes requests and secures nothing. */
 const FINGERPRINT_DIGITS = 16;
 
 /**
- * Names a request across its attempts, which have ids of their own: what was asked,
- * by whom, and with what body. Holds nothing from which these could be read.
+ * Identifies a request across the caller's attempts, which have different request ids. Hashes
+ * the request line, the host, the organisation and the body, so that none of them can be read
+ * from the result.
  */
 export function requestFingerprint(
   {request, organisation}: Pick<AllowedRequest, 'request' | 'organisation'>,
--- a/packages/relay/src/requests/runRegistry.ts
+++ b/packages/relay/src/requests/runRegistry.ts
@@ -2,56 +2,56 @@
 import type {Endpoint} from '../endpoints/endpoint.js';
 import type {MemorySource} from '../ports.js';
 
-/** How a run goes on at another endpoint. */
+/** How a run can continue at another endpoint. */
 export interface Handover {
-  /** Endpoints that can go on with the run, the best first. */
+  /** Endpoints that can continue the run, best first. */
   readonly destinations: readonly Endpoint[];
   readonly source: MemorySource;
 }
 
-/** One generation whose stream this process carries. */
+/** A generation whose stream this process relays. */
 export class ActiveRun {
-  /** Events that were handed to the caller. */
+  /** Events written to the caller. */
   eventsRelayed = 0;
   lastEventId: string | undefined;
   lastEventAtMs: number | undefined;
-  /** Set while the run is being stopped to go on elsewhere. */
+  /** Set while the run is being stopped in order to continue at another endpoint. */
   handover: Promise<Handover | undefined> | undefined;
-  /** Where else the run may go on, until it does. */
-  otherPlaces: Handover | undefined;
+  /** Destinations not tried yet; cleared once the run continues at one of them. */
+  remainingHandover: Handover | undefined;
 
   constructor(
     readonly requestId: string,
-    /** Where the run is now. */
+    /** The endpoint that the run is assigned to now. */
     public endpoint: Endpoint,
     readonly promptTokens: number,
     readonly expectedOutputTokens: number,
     readonly tokensPerEvent: number,
     readonly startedMs: number,
-    /** True where the run may be served. */
+    /** Whether an endpoint is in an allowed region of the run's request. */
     readonly mayBeAt: (endpoint: Endpoint) => boolean = () => true,
   ) {}
 
-  /** What is known of the run's length. */
+  /** Input for predictions of the run's remaining length. */
   get outlook(): RunOutlook {
     const {requestId, promptTokens, expectedOutputTokens} = this;
     const producedTokens = this.eventsRelayed * this.tokensPerEvent;
     return {requestId, promptTokens, expectedOutputTokens, producedTokens};
   }
 
-  /** Memory that the run fills now. */
+  /** Engine memory that the run occupies now. */
   get memoryTokens(): number {
     return this.promptTokens + this.eventsRelayed * this.tokensPerEvent;
   }
 }
 
-/** What follows the runs of this process from endpoint to endpoint. */
+/** Notified when a run of this process is assigned to an endpoint or leaves it. */
 export interface RunListener {
   arrived(run: ActiveRun, endpoint: Endpoint): void;
   departed(run: ActiveRun, endpoint: Endpoint): void;
 }
 
-/** The generations of this process, by request. */
+/** The active generations of this process, by request id. */
 export class RunRegistry {
   private readonly byId = new Map<string, ActiveRun>();
   private listener: RunListener | undefined;
@@ -73,12 +73,12 @@
     this.listener?.arrived(run, run.endpoint);
   }
 
-  /** The run goes on at another endpoint. */
+  /** Assigns a run to the endpoint that continues it. */
   relocate(run: ActiveRun, endpoint: Endpoint): void {
-    const before = run.endpoint;
-    if (before === endpoint) return;
+    const previous = run.endpoint;
+    if (previous === endpoint) return;
     run.endpoint = endpoint;
-    this.listener?.departed(run, before);
+    this.listener?.departed(run, previous);
     this.listener?.arrived(run, endpoint);
   }
 
@@ -92,7 +92,7 @@
     return this.byId.values();
   }
 
-  /** The runs that are at an endpoint now. */
+  /** The runs that are assigned to an endpoint now. */
   at(endpoint: Endpoint): ActiveRun[] {
     return [...this.byId.values()].filter((run) => run.endpoint === endpoint);
   }
--- a/packages/relay/src/requests/takeRepeat.ts
+++ b/packages/relay/src/requests/takeRepeat.ts
@@ -3,35 +3,35 @@
 import type {CallerExchange} from './callerExchange.js';
 import type {RelayContext} from './relayContext.js';
 
-/** Whether a repeat could be taken now, so that a wait for its place is of use. */
-export function hasRepeatLeft(
+/** Whether the retry budget allows a retry now, so that it is worth waiting for an endpoint. */
+export function hasRetryBudget(
   context: RelayContext,
   exchange: CallerExchange,
 ): boolean {
   const {hasRoom} = budgetOf(context, exchange);
-  if (!hasRoom) noteSpent(context, exchange);
+  if (!hasRoom) reportSpent(context, exchange);
   return hasRoom;
 }
 
 /**
- * Takes a send beyond the first of a request from the budget of its service, right before the
- * send; false when nothing is left.
+ * Takes one retry from the budget of the request's service; false when the budget is used up.
+ * Call it right before the send.
  */
-export function takeRepeat(
+export function takeRetry(
   context: RelayContext,
   exchange: CallerExchange,
 ): boolean {
   const isTaken = budgetOf(context, exchange).tryTake();
-  return noteResult(context, exchange, isTaken);
+  return reportResult(context, exchange, isTaken);
 }
 
-/** The same for the send by which a generation goes on at another endpoint. */
+/** Like `takeRetry`, for the send that continues a generation at another endpoint. */
 export function takeContinuation(
   context: RelayContext,
   exchange: CallerExchange,
 ): boolean {
   const isTaken = budgetOf(context, exchange).tryContinue();
-  return noteResult(context, exchange, isTaken);
+  return reportResult(context, exchange, isTaken);
 }
 
 function budgetOf(
@@ -41,23 +41,26 @@
   return retryBudgets.of(allowed.service);
 }
 
-function noteResult(
+function reportResult(
   context: RelayContext,
   exchange: CallerExchange,
   isTaken: boolean,
 ): boolean {
-  if (isTaken) context.log.info('retry.taken', stateOf(context, exchange));
-  else noteSpent(context, exchange);
+  if (isTaken) context.log.info('retry.taken', budgetFields(context, exchange));
+  else reportSpent(context, exchange);
   return isTaken;
 }
 
-function noteSpent(context: RelayContext, exchange: CallerExchange): void {
+function reportSpent(context: RelayContext, exchange: CallerExchange): void {
   const {service} = exchange.allowed;
   context.metrics.budgetRefusals.inc({service});
-  context.log.warn('retry.budgetSpent', stateOf(context, exchange));
+  context.log.warn('retry.budgetSpent', budgetFields(context, exchange));
 }
 
-function stateOf(context: RelayContext, exchange: CallerExchange): LogFields {
+function budgetFields(
+  context: RelayContext,
+  exchange: CallerExchange,
+): LogFields {
   const budget = budgetOf(context, exchange);
   return {
     request: exchange.id,
