--- a/packages/policy/src/__tests__/bulkReads.test.ts
+++ b/packages/policy/src/__tests__/bulkReads.test.ts
@@ -1,21 +1,25 @@
 import {describe, expect, it} from 'vitest';
 import {readAfter} from '../bulkReads.js';
 
-/** One version on the smallest link. */
+/** Transfer time of one version on the slowest link. */
 const VERSION_MS = 310;
 
-interface Series {
-  /** Time that the longest answer took. */
+interface ReadTimes {
+  /** Transfer time of the longest response. */
   readonly longestMs: number;
-  /** Longest time from a version's making until it, or a later one, was read. */
+  /** Longest time from the write of a version until it, or a newer one, was read. */
   readonly worstAgeMs: number;
 }
 
 /**
- * Follows versions that are made each `gapMs`. A watch brings all versions since the
- * last answer, a read of the newest brings one.
+ * Simulates the reads while a version is written every `gapMs`. A watch returns all
+ * versions since the last response, a read of the newest returns one.
  */
-function follow(gapMs: number, forMs: number, applyBoundMs: number): Series {
+function simulateReads(
+  gapMs: number,
+  forMs: number,
+  applyBoundMs: number,
+): ReadTimes {
   let nowMs = 0;
   let knownCount = 0;
   let longestMs = 0;
@@ -24,42 +28,44 @@
   while (nowMs < forMs) {
     if (next.kind === 'newest') nowMs += next.pauseMs;
     else nowMs = Math.max(nowMs, (knownCount + 1) * gapMs);
-    const madeCount = Math.floor(nowMs / gapMs);
-    const isNew = madeCount > knownCount;
-    const versions = next.kind === 'newest' ? 1 : madeCount - knownCount;
+    const writtenCount = Math.floor(nowMs / gapMs);
+    const isNew = writtenCount > knownCount;
+    const versions = next.kind === 'newest' ? 1 : writtenCount - knownCount;
     const tookMs = versions * VERSION_MS;
     nowMs += tookMs;
     longestMs = Math.max(longestMs, tookMs);
     if (isNew) {
       worstAgeMs = Math.max(worstAgeMs, nowMs - (knownCount + 1) * gapMs);
     }
-    knownCount = madeCount;
+    knownCount = writtenCount;
     next = readAfter({tookMs, isNew}, applyBoundMs);
   }
   return {longestMs, worstAgeMs};
 }
 
-describe('reads of a large value that changes in series', () => {
+// Guards against a backlog on a slow link: if a response with several versions takes
+// longer than the interval between versions, each watch returns more than the last.
+describe('chooseNextRead', () => {
   it.each([50, 100, 200, 330, 800])(
-    'stay as long as one version while each comes after %d ms',
+    'keeps responses short while a version is written every %d ms',
     (gapMs) => {
-      const {longestMs, worstAgeMs} = follow(gapMs, 30_000, 2_000);
+      const {longestMs, worstAgeMs} = simulateReads(gapMs, 30_000, 2_000);
       expect(longestMs).toBeLessThanOrEqual(2 * VERSION_MS);
       expect(worstAgeMs).toBeLessThan(1_500);
     },
   );
 
-  it('wait for the next version once a read brought nothing new', () => {
+  it('watches again after a read that returned nothing new', () => {
     const next = readAfter({tookMs: VERSION_MS, isNew: false}, 2_000);
     expect(next).toEqual({kind: 'watch'});
   });
 
-  it('follow small versions one by one, without a pause', () => {
+  it('keeps watching, without a pause, while versions are small', () => {
     const next = readAfter({tookMs: 3, isNew: true}, 2_000);
     expect(next).toEqual({kind: 'watch'});
   });
 
-  it('pause for a fifth of the bound at most', () => {
+  it('pauses for at most a fifth of the bound', () => {
     const next = readAfter({tookMs: 5_000, isNew: true}, 2_000);
     expect(next).toEqual({kind: 'newest', pauseMs: 400});
   });
--- a/packages/policy/src/__tests__/callTimes.test.ts
+++ b/packages/policy/src/__tests__/callTimes.test.ts
@@ -2,36 +2,36 @@
 import {describe, expect, it} from 'vitest';
 import {CallTimes} from '../callTimes.js';
 
-/** Times that spread log-normally around a median, by the sum of uniforms. */
-function callMs(medianMs: number, random: () => number): number {
+/** Draws a log-normal response time; the sum of 12 uniforms is nearly normal. */
+function drawMs(medianMs: number, random: () => number): number {
   let sum = -6;
   for (let index = 0; index < 12; index++) sum += random();
   return medianMs * Math.exp(0.5 * sum);
 }
 
 describe('CallTimes', () => {
-  it.each([26, 75])('doubles few calls of a median of %d ms', (medianMs) => {
+  it.each([26, 75])('hedges few calls if their median is %d ms', (medianMs) => {
     const random = createRandom(4);
     const times = new CallTimes();
-    let doubled = 0;
+    let hedgedCount = 0;
     for (let call = 0; call < 2_000; call++) {
-      const tookMs = callMs(medianMs, random);
-      if (tookMs > times.usualMs) doubled++;
+      const tookMs = drawMs(medianMs, random);
+      if (tookMs > times.usualMs) hedgedCount++;
       times.note(tookMs);
     }
-    expect(doubled / 2_000).toBeLessThan(0.05);
+    expect(hedgedCount / 2_000).toBeLessThan(0.05);
     expect(times.usualMs).toBeGreaterThan(medianMs * 1.5);
     expect(times.usualMs).toBeLessThan(medianMs * 4);
   });
 
-  it('follows a service that becomes slower, and one that recovers', () => {
+  it('follows a service that slows down and recovers', () => {
     const random = createRandom(9);
     const times = new CallTimes();
-    for (let call = 0; call < 500; call++) times.note(callMs(30, random));
+    for (let call = 0; call < 500; call++) times.note(drawMs(30, random));
     const fastMs = times.usualMs;
-    for (let call = 0; call < 300; call++) times.note(callMs(90, random));
+    for (let call = 0; call < 300; call++) times.note(drawMs(90, random));
     expect(times.usualMs).toBeGreaterThan(fastMs * 2);
-    for (let call = 0; call < 1_000; call++) times.note(callMs(30, random));
+    for (let call = 0; call < 1_000; call++) times.note(drawMs(30, random));
     expect(times.usualMs).toBeLessThan(fastMs * 1.6);
   });
 });
--- a/packages/policy/src/__tests__/decisionsFuzz.test.ts
+++ b/packages/policy/src/__tests__/decisionsFuzz.test.ts
@@ -17,7 +17,7 @@
 
 const RUNS = {numRuns: 300, seed: 20_261};
 
-/** Times from none to a day, with the odd ones among them. */
+/** Times from 0 to one day, including edge cases. */
 const timeMs = fc.oneof(
   fc.constantFrom(0, 1, 250, 2_000, 86_400_000),
   fc.double({min: 0, max: 100_000, noNaN: true}),
@@ -31,20 +31,20 @@
 );
 const chance = fc.double({min: 0, max: 1, noNaN: true, maxExcluded: true});
 
-/** An engine's pace after whatever was seen of it. */
+/** An engine's pace after arbitrary measurements. */
 const pace = fc
   .array(fc.tuple(tokens, timeMs, fc.boolean()), {maxLength: 60})
-  .map((seen) => {
+  .map((samples) => {
     const learned = new EnginePace();
-    for (const [count, tookMs, isRead] of seen) {
+    for (const [count, tookMs, isRead] of samples) {
       if (isRead) learned.noteRead(count, tookMs);
       else learned.noteOutput(count, tookMs);
     }
     return learned;
   });
 
-describe('decisions on whatever comes', () => {
-  it('give a time that is finite and not negative', () => {
+describe('decisions on arbitrary input', () => {
+  it('give retry times that are finite and not negative', () => {
     fc.assert(
       fc.property(
         timeMs,
@@ -83,7 +83,7 @@
     );
   });
 
-  it('never give work to an endpoint after the bound', () => {
+  it('give no work to an endpoint after the bound', () => {
     fc.assert(
       fc.property(signedMs, timeMs, (leftMs, boundMs) => {
         const news = [
@@ -99,7 +99,7 @@
     );
   });
 
-  it('spend no more than the bound on gathering, however it is set', () => {
+  it('batch changes for no longer than the bound, whatever its value', () => {
     fc.assert(
       fc.property(
         timeMs,
@@ -113,7 +113,7 @@
     );
   });
 
-  it('keep nothing as lapsed once the bound holds again', () => {
+  it('keep no registration as expired for longer than the settling time', () => {
     fc.assert(
       fc.property(timeMs, timeMs, timeMs, (failedMs, laterMs, settleMs) => {
         const seen = {atMs: failedMs + laterMs, lastFailedMs: failedMs};
@@ -125,7 +125,7 @@
     );
   });
 
-  it('learn a pace that is positive and finite', () => {
+  it('learn a positive and finite pace', () => {
     fc.assert(
       fc.property(pace, (learned) => {
         for (const ms of [learned.readMs(1), learned.outputMs(1)]) {
@@ -138,7 +138,7 @@
     );
   });
 
-  it('begin nothing that has no time left', () => {
+  it('start no generation that has no time left', () => {
     fc.assert(
       fc.property(pace, tokens, tokens, (learned, prompt, output) => {
         const generation = {
@@ -155,7 +155,7 @@
     );
   });
 
-  it('move a run, if there is one, at whatever pace and notice', () => {
+  it('choose a run to move, if there is one, at any pace and notice', () => {
     const run = fc.record({
       requestId: fc.string(),
       promptTokens: fc.integer({min: 1, max: 40_000}),
@@ -177,7 +177,7 @@
     );
   });
 
-  it('put those who wait in an order without circles, by rank first', () => {
+  it('order waiting generations transitively, by rank first', () => {
     const place: fc.Arbitrary<WaitingPlace> = fc.record({
       organisationRank: fc.integer({min: 0, max: 3}),
       routeRank: fc.integer({min: 0, max: 3}),
@@ -200,7 +200,7 @@
     );
   });
 
-  it('never pass the retry budget, however entries come and go', async () => {
+  it('never exceed the retry budget while the number of entries changes', async () => {
     const step = fc.record({
       afterMs: fc.integer({min: 0, max: 3_000}),
       entries: fc.integer({min: 0, max: 30}),
@@ -236,8 +236,8 @@
     );
   });
 
-  it('doubt an endpoint for no longer than the longest doubt', () => {
-    // Mostly silence, at pauses in which one doubt ends and the next may begin.
+  it('doubt an endpoint for no longer than the maximum', () => {
+    // Mostly missing responses, at intervals that let one doubt end and the next begin.
     const event = fc.tuple(
       fc.constantFrom(0, 1, 2, 3, 3, 4, 4),
       fc.oneof(timeMs, fc.integer({min: 1_000, max: 20_000})),
@@ -263,21 +263,25 @@
     );
   });
 
-  it('forecast a queue and a call by finite times', () => {
+  it('forecast finite times for a queue and a call', () => {
     const random = createRandom(3);
     fc.assert(
-      fc.property(fc.array(fc.tuple(timeMs, tokens)), tokens, (seen, ahead) => {
-        const rate = new DrainRate();
-        const times = new CallTimes();
-        for (const [forMs, count] of seen) {
-          rate.note(forMs, count);
-          times.note(forMs * random());
-        }
-        for (const ms of [rate.timeForMs(ahead), times.longestMs]) {
-          expect(ms).toBeGreaterThanOrEqual(0);
-          expect(Number.isFinite(ms)).toBe(true);
-        }
-      }),
+      fc.property(
+        fc.array(fc.tuple(timeMs, tokens)),
+        tokens,
+        (samples, ahead) => {
+          const rate = new DrainRate();
+          const times = new CallTimes();
+          for (const [forMs, count] of samples) {
+            rate.note(forMs, count);
+            times.note(forMs * random());
+          }
+          for (const ms of [rate.timeForMs(ahead), times.longestMs]) {
+            expect(ms).toBeGreaterThanOrEqual(0);
+            expect(Number.isFinite(ms)).toBe(true);
+          }
+        },
+      ),
       RUNS,
     );
   });
--- a/packages/policy/src/__tests__/enginePace.test.ts
+++ b/packages/policy/src/__tests__/enginePace.test.ts
@@ -2,39 +2,43 @@
 import {describe, expect, it} from 'vitest';
 import {EnginePace} from '../enginePace.js';
 
-/** Engines of one kind: how fast they work, and how much that varies. */
-interface Engines {
+/** Speed of one type of engine. */
+interface EngineSpeed {
   readonly promptTokensPerMs: number;
   readonly tokenMs: number;
 }
 
-const FAST: Engines = {promptTokensPerMs: 14, tokenMs: 7};
-const SLOW: Engines = {promptTokensPerMs: 2, tokenMs: 40};
+const FAST: EngineSpeed = {promptTokensPerMs: 14, tokenMs: 7};
+const SLOW: EngineSpeed = {promptTokensPerMs: 2, tokenMs: 40};
 
-/** Lets `count` generations of such engines be seen. */
-function see(pace: EnginePace, engines: Engines, count: number): void {
+/** Records `count` generations on such engines, with varied times. */
+function recordGenerations(
+  pace: EnginePace,
+  engines: EngineSpeed,
+  count: number,
+): void {
   const random = createRandom(5);
   for (let index = 0; index < count; index++) {
     const promptTokens = 1_000 + Math.floor(random() * 4_000);
-    const varied = 0.7 + 0.6 * random();
+    const variation = 0.7 + 0.6 * random();
     pace.noteRead(
       promptTokens,
-      (promptTokens / engines.promptTokensPerMs) * varied,
+      (promptTokens / engines.promptTokensPerMs) * variation,
     );
-    pace.noteOutput(32, 32 * engines.tokenMs * varied);
+    pace.noteOutput(32, 32 * engines.tokenMs * variation);
   }
 }
 
-/** Asserts that forecasts are within a fifth of what such engines take. */
-function expectForecasts(pace: EnginePace, engines: Engines): void {
+/** Asserts that forecasts are within 20 % of the actual times of such engines. */
+function expectForecasts(pace: EnginePace, engines: EngineSpeed): void {
   const readMs = pace.readMs(3_000) * engines.promptTokensPerMs;
   const outputMs = pace.outputMs(100) / engines.tokenMs;
   expect(Math.abs(readMs / 3_000 - 1)).toBeLessThan(0.2);
   expect(Math.abs(outputMs / 100 - 1)).toBeLessThan(0.2);
 }
 
-describe('EnginePace that learns nothing', () => {
-  it('keeps the assumed pace, whatever answers show', () => {
+describe('EnginePace with learning turned off', () => {
+  it('keeps the initial estimates', () => {
     const pace = new EnginePace(false);
     const beforeMs = [pace.readMs(1_000), pace.outputMs(100)];
     for (let answer = 0; answer < 200; answer++) {
@@ -47,31 +51,31 @@
 
 describe('EnginePace', () => {
   it.each([FAST, SLOW])(
-    'learns the pace of engines it never saw',
+    'learns the pace of engines unlike the initial estimates',
     (engines) => {
       const pace = new EnginePace();
-      see(pace, engines, 150);
+      recordGenerations(pace, engines, 150);
       expectForecasts(pace, engines);
     },
   );
 
-  it('follows engines that become slow, and that recover', () => {
+  it('follows engines that slow down and recover', () => {
     const pace = new EnginePace();
-    see(pace, FAST, 150);
-    see(pace, SLOW, 150);
+    recordGenerations(pace, FAST, 150);
+    recordGenerations(pace, SLOW, 150);
     expectForecasts(pace, SLOW);
-    see(pace, FAST, 150);
+    recordGenerations(pace, FAST, 150);
     expectForecasts(pace, FAST);
   });
 
-  it('starts from what is assumed, and no single answer changes it much', () => {
+  it('changes little on a single response', () => {
     const pace = new EnginePace();
     const before = pace.readMs(3_000);
     pace.noteRead(3_000, 60_000);
     expect(pace.readMs(3_000)).toBeLessThan(before * 1.1);
   });
 
-  it('leaves out what says more of the way than of the engine', () => {
+  it('ignores samples that are too small to reflect the speed of the engine', () => {
     const pace = new EnginePace();
     const [readMs, outputMs] = [pace.readMs(3_000), pace.outputMs(100)];
     for (let index = 0; index < 50; index++) {
@@ -82,9 +86,9 @@
     expect(pace.outputMs(100)).toBe(outputMs);
   });
 
-  it('knows an output that must not be cut to take longer than a usual one', () => {
+  it('expects a longer maximum than median time of an output', () => {
     const pace = new EnginePace();
-    see(pace, FAST, 400);
+    recordGenerations(pace, FAST, 400);
     expect(pace.longestOutputMs(100)).toBeGreaterThan(pace.outputMs(100) * 1.2);
   });
 });
--- a/packages/policy/src/__tests__/freshLook.test.ts
+++ b/packages/policy/src/__tests__/freshLook.test.ts
@@ -4,9 +4,12 @@
 import {drawToAsk} from '../freshLook.js';
 
 /*
- * Prompts of two routes come at random to entries that see each engine's backlog as
- * of its last report, and know what they sent there themselves since. Engines read
- * one prompt after the other. What is asked is how long the first event takes.
+ * Guards against herding: entries that rank engines by the same reports, which are some
+ * hundred milliseconds old, send their prompts to the same engine until its next report.
+ *
+ * Simulates prompts of two routes that arrive at random entries. An entry knows the
+ * backlog of each engine at its last report and the prompts that it has sent since.
+ * Engines prefill one prompt after the other. Measured is the time to the first event.
  */
 
 const ENTRIES = 22;
@@ -17,11 +20,11 @@
 const DURATION_MS = 60_000;
 const SEEDS = [1, 2, 3];
 
-/** Short answers: two of three prompts; their goal is missed by the late ones. */
+/** Share of the prompts with a short output; only these have a latency goal. */
 const SHORT_SHARE = 0.66;
 const SHORT_GOAL_MS = 1_500;
 
-/** One prompt that an engine was sent. */
+/** A prompt that was sent to an engine. */
 interface Sent {
   readonly atMs: number;
   readonly tokens: number;
@@ -36,24 +39,27 @@
 
   constructor(
     private nextReportMs: number,
-    /** Something that entries also prefer, and that does not change: in tokens. */
-    readonly handicapTokens: number,
+    /** A constant penalty in the ranking, such as used memory, in tokens. */
+    readonly penaltyTokens: number,
   ) {}
 
   backlogTokens(nowMs: number): number {
     return Math.max(0, this.freeMs - nowMs) * TOKENS_PER_MS;
   }
 
-  /** What an entry believes from the last report and its own sends. */
-  believedTokens(entry: number, nowMs: number): number {
+  /** The entry's estimate from the last report and its own sends. */
+  estimatedTokens(entry: number, nowMs: number): number {
     while (this.nextReportMs <= nowMs) this.report(this.nextReportMs);
-    const own = this.sent.filter(
+    const ownSends = this.sent.filter(
       (sent) => sent.entry === entry && sent.atMs > this.reportedMs,
     );
-    return own.reduce((sum, {tokens}) => sum + tokens, this.reportedTokens);
+    return ownSends.reduce(
+      (sum, {tokens}) => sum + tokens,
+      this.reportedTokens,
+    );
   }
 
-  /** Time until the prompt that is sent now is read. */
+  /** Returns the time until the prompt's prefill is complete. */
   send(prompt: Sent): number {
     this.sent.push(prompt);
     const startMs = Math.max(this.freeMs, prompt.atMs);
@@ -74,10 +80,10 @@
   }
 }
 
-/** What a choice sees of one engine. */
+/** An engine with its estimated load. */
 interface Candidate {
   readonly engine: QueueEngine;
-  readonly believed: number;
+  readonly estimatedTokens: number;
 }
 
 type Choose = (
@@ -86,30 +92,30 @@
   random: Random,
 ) => QueueEngine;
 
-/** The best by the reports, as all entries see them. */
+/** Chooses the best engine by the last reports, which all entries share. */
 const bestReported: Choose = (candidates) => ranked(candidates)[0]!.engine;
 
-/** The best of those that were drawn and asked. */
-const bestAsked: Choose = (candidates, nowMs, random) => {
-  const asked = drawToAsk(ranked(candidates), random);
-  const scores = asked.map(({engine}) => ({
+/** Chooses the best engine of a sample, by its current load. */
+const bestQueried: Choose = (candidates, nowMs, random) => {
+  const queried = drawToAsk(ranked(candidates), random);
+  const scores = queried.map(({engine}) => ({
     engine,
-    score: engine.backlogTokens(nowMs) + engine.handicapTokens,
+    score: engine.backlogTokens(nowMs) + engine.penaltyTokens,
   }));
   scores.sort((a, b) => a.score - b.score);
   return scores[0]!.engine;
 };
 
 function ranked(candidates: readonly Candidate[]): Candidate[] {
-  return [...candidates].sort((a, b) => a.believed - b.believed);
+  return [...candidates].sort((a, b) => a.estimatedTokens - b.estimatedTokens);
 }
 
-/** Share of the short answers whose first event is late. */
-function lateShare(choose: Choose, handicapTokens: number, seed: number) {
+/** Share of the short outputs whose first event misses the goal. */
+function lateShare(choose: Choose, penaltyTokens: number, seed: number) {
   const random = createRandom(seed);
   const engines = Array.from(
     {length: ENGINES},
-    () => new QueueEngine(random() * REPORT_EACH_MS, random() * handicapTokens),
+    () => new QueueEngine(random() * REPORT_EACH_MS, random() * penaltyTokens),
   );
   let late = 0;
   let short = 0;
@@ -122,9 +128,9 @@
       : 79 + logNormal(random, 3_000, 0.35);
     const candidates = engines.map((engine) => ({
       engine,
-      believed:
-        engine.believedTokens(entry, nowMs) +
-        engine.handicapTokens +
+      estimatedTokens:
+        engine.estimatedTokens(entry, nowMs) +
+        engine.penaltyTokens +
         random() * 35,
     }));
     const engine = choose(candidates, nowMs, random);
@@ -143,48 +149,51 @@
   return Math.min(6_000, value);
 }
 
-describe('prompts of many entries that see the same reports', () => {
-  // A full memory against an empty one is 600 ms, of reading: 4,200 tokens.
+describe('prompts of many entries that share load reports', () => {
+  // Full memory costs as much as a prefill of 600 ms, which is 4,200 tokens.
   describe.each([
-    ['backlogs alone', 0],
-    ['something that changes slowly', 4_200],
-  ])('which hold %s', (_name, handicapTokens) => {
+    ['only backlogs', 0],
+    ['a slowly changing value as well', 4_200],
+  ])('that hold %s', (_name, penaltyTokens) => {
     it.each(SEEDS)(
-      'begin in time where engines are asked (seed %i)',
+      'start in time if a sample of engines is queried (seed %i)',
       (seed) => {
-        expect(lateShare(bestAsked, handicapTokens, seed)).toBeLessThan(0.01);
+        expect(lateShare(bestQueried, penaltyTokens, seed)).toBeLessThan(0.01);
       },
     );
 
-    it.each(SEEDS)('pile up on the best by the reports (seed %i)', (seed) => {
-      const share = lateShare(bestReported, handicapTokens, seed);
-      expect(share).toBeGreaterThan(0.01);
-    });
+    it.each(SEEDS)(
+      'pile up on the best reported engine without queries (seed %i)',
+      (seed) => {
+        const share = lateShare(bestReported, penaltyTokens, seed);
+        expect(share).toBeGreaterThan(0.01);
+      },
+    );
   });
 });
 
-describe('the engines that are asked', () => {
+describe('sampleForLoadQuery', () => {
   const random = createRandom(1);
 
-  it('are all, where there are few', () => {
+  it('returns all engines if there are few', () => {
     expect(drawToAsk(['a', 'b', 'c'], random).sort()).toEqual(['a', 'b', 'c']);
     expect(drawToAsk([], random)).toEqual([]);
   });
 
-  it('are four different ones of the better half', () => {
+  it('returns four distinct engines of the better half', () => {
     const names = Array.from({length: 20}, (_, index) => index);
     for (let round = 0; round < 50; round++) {
-      const drawn = drawToAsk(names, random);
-      expect(new Set(drawn).size).toBe(4);
-      expect(Math.max(...drawn)).toBeLessThan(10);
+      const sample = drawToAsk(names, random);
+      expect(new Set(sample).size).toBe(4);
+      expect(Math.max(...sample)).toBeLessThan(10);
     }
   });
 
-  it('differ from draw to draw', () => {
+  it('returns a different sample each time', () => {
     const names = Array.from({length: 20}, (_, index) => index);
-    const draws = Array.from({length: 20}, () =>
+    const samples = Array.from({length: 20}, () =>
       drawToAsk(names, random).sort().join(),
     );
-    expect(new Set(draws).size).toBeGreaterThan(10);
+    expect(new Set(samples).size).toBeGreaterThan(10);
   });
 });
--- a/packages/policy/src/__tests__/hedgedRead.test.ts
+++ b/packages/policy/src/__tests__/hedgedRead.test.ts
@@ -5,8 +5,8 @@
 const SETTINGS = {afterMs: 300, mostOpen: 4};
 const READ_TIMEOUT_MS = 1_500;
 
-/** A store that is silent until a moment and answers in 4 ms from then on. */
-class SilentStore {
+/** A store that times out until `returnsAtMs` and then responds within 4 ms. */
+class UnresponsiveStore {
   reads = 0;
 
   constructor(
@@ -16,10 +16,12 @@
 
   read(): Promise<string> {
     this.reads++;
-    const isSilent = this.clock.nowMs() < this.returnsAtMs;
-    const delayMs = isSilent ? READ_TIMEOUT_MS : 4;
+    const isUnresponsive = this.clock.nowMs() < this.returnsAtMs;
+    const delayMs = isUnresponsive ? READ_TIMEOUT_MS : 4;
     return new Promise((resolve) => {
-      this.clock.after(delayMs, () => resolve(isSilent ? 'timeout' : 'page'));
+      this.clock.after(delayMs, () =>
+        resolve(isUnresponsive ? 'timeout' : 'page'),
+      );
     });
   }
 }
@@ -30,7 +32,7 @@
   clock = new VirtualClock();
 });
 
-async function readAt(store: SilentStore): Promise<{
+async function readAt(store: UnresponsiveStore): Promise<{
   result: string;
   atMs: number;
 }> {
@@ -44,28 +46,28 @@
 }
 
 describe('hedgeRead', () => {
-  it('has the page soon after a silent store is back', async () => {
-    const {result, atMs} = await readAt(new SilentStore(clock, 250));
+  it('returns the page soon after an unresponsive store has recovered', async () => {
+    const {result, atMs} = await readAt(new UnresponsiveStore(clock, 250));
     expect(result).toBe('page');
     expect(atMs).toBeLessThan(320);
   });
 
-  it('asks once where the answer comes in time', async () => {
-    const store = new SilentStore(clock, 0);
+  it('reads once if the response comes in time', async () => {
+    const store = new UnresponsiveStore(clock, 0);
     expect((await readAt(store)).result).toBe('page');
     await clock.advance(2_000);
     expect(store.reads).toBe(1);
   });
 
-  it('fails with the last read, and bounds those that are open', async () => {
-    const store = new SilentStore(clock, Infinity);
+  it('fails with the last read and limits the number of reads', async () => {
+    const store = new UnresponsiveStore(clock, Infinity);
     const {result, atMs} = await readAt(store);
     expect(result).toBe('timeout');
     expect(store.reads).toBe(SETTINGS.mostOpen);
     expect(atMs).toBe(3 * SETTINGS.afterMs + READ_TIMEOUT_MS);
   });
 
-  it('fails at once where the first read fails before the next is due', async () => {
+  it('fails immediately if the first read fails before the next is due', async () => {
     let result: string | undefined;
     const refused = (): Promise<string> => Promise.resolve('refused');
     void hedgeRead(refused, () => false, SETTINGS, clock).then((reply) => {
--- a/packages/policy/src/__tests__/linkRings.test.ts
+++ b/packages/policy/src/__tests__/linkRings.test.ts
@@ -1,11 +1,11 @@
 import {describe, expect, it} from 'vitest';
 import {nextInRings, ringCount} from '../linkRings.js';
 
-function fleetOf(size: number): string[] {
+function createNames(size: number): string[] {
   return Array.from({length: size}, (_, place) => `entry-${place}`);
 }
 
-/** All links of a fleet as `from to`. */
+/** All links of a fleet, each as `from to`. */
 function linksOf(names: readonly string[]): Set<string> {
   const links = new Set<string>();
   for (const name of names) {
@@ -14,8 +14,8 @@
   return links;
 }
 
-/** Links that must be dialled when a fleet becomes another one. */
-function dialledAnew(
+/** Number of links that must be dialled when the members change. */
+function countDialled(
   before: readonly string[],
   after: readonly string[],
 ): number {
@@ -24,44 +24,48 @@
 }
 
 describe('nextInRings', () => {
-  it('links a member to the next in the order of names', () => {
+  it('links a member to its successor by name', () => {
     expect(nextInRings('b', ['a', 'b', 'c']).has('c')).toBe(true);
     expect(nextInRings('c', ['a', 'b', 'c']).has('a')).toBe(true);
   });
 
-  it('links to nobody in a fleet of one', () => {
+  it('has no links in a fleet of one', () => {
     expect(nextInRings('a', ['a']).size).toBe(0);
   });
 
-  describe('when the fleet changes', () => {
+  // Guards against reconnection storms: one member more or less must not replace links
+  // all over the fleet.
+  describe('when members change', () => {
     it.each([27, 68, 200, 360])(
-      'dials a link a ring in all of %i when one goes',
+      'dials at most one link per ring in a fleet of %i when one member leaves',
       (size) => {
-        const names = fleetOf(size);
-        for (const gone of [0, 7, size - 1]) {
-          const left = names.filter((_, place) => place !== gone);
-          expect(dialledAnew(names, left)).toBeLessThanOrEqual(ringCount(size));
+        const names = createNames(size);
+        for (const leaverIndex of [0, 7, size - 1]) {
+          const remaining = names.filter((_, place) => place !== leaverIndex);
+          expect(countDialled(names, remaining)).toBeLessThanOrEqual(
+            ringCount(size),
+          );
         }
       },
     );
 
-    it('dials no more than a link a ring for each of many that go at once', () => {
-      const names = fleetOf(68);
-      const left = names.filter((_, place) => place % 3 !== 0);
-      const most = ringCount(68) * (68 - left.length);
-      expect(dialledAnew(names, left)).toBeLessThanOrEqual(most);
+    it('dials at most one link per ring for each of many members that leave at once', () => {
+      const names = createNames(68);
+      const remaining = names.filter((_, place) => place % 3 !== 0);
+      const maxDialled = ringCount(68) * (68 - remaining.length);
+      expect(countDialled(names, remaining)).toBeLessThanOrEqual(maxDialled);
     });
 
-    it('has the same links again when they are back', () => {
-      const names = fleetOf(68);
+    it('has the same links in whatever order members are listed', () => {
+      const names = createNames(68);
       const shuffled = [...names].reverse();
       expect(linksOf(shuffled)).toEqual(linksOf(names));
     });
   });
 
-  it('gives no member more than two links a ring', () => {
+  it('gives no member more than two links per ring', () => {
     const counts = new Map<string, number>();
-    for (const link of linksOf(fleetOf(360))) {
+    for (const link of linksOf(createNames(360))) {
       for (const end of link.split(' ')) {
         counts.set(end, (counts.get(end) ?? 0) + 1);
       }
--- a/packages/policy/src/__tests__/promptSizes.test.ts
+++ b/packages/policy/src/__tests__/promptSizes.test.ts
@@ -6,7 +6,7 @@
 const ENGINES = 21;
 const TOKENS_PER_MS = 7;
 const GOAL_MS = 1_500;
-/** 1.4 times what the engines read. */
+/** 1.4 times the engines' capacity. */
 const PROMPTS_PER_S = 80;
 const DURATION_MS = 60_000;
 const SEEDS = [1, 2, 3];
@@ -16,20 +16,20 @@
   readonly isServed: boolean;
 }
 
-/** Tokens of a prompt that count against the goal. */
-type Counted = (tokens: number) => number;
+/** Returns the tokens of a prompt that count against the goal. */
+type CountTokens = (tokens: number) => number;
 
-/** Prompts that each take the engine with the least to read, if it is in time. */
-function serve(counted: Counted, random: Random): Prompt[] {
+/** Sends each prompt to the engine with the shortest queue, if it meets the goal. */
+function serve(countTokens: CountTokens, random: Random): Prompt[] {
   const freeMs = new Array<number>(ENGINES).fill(0);
   const prompts: Prompt[] = [];
   for (let nowMs = 0; nowMs < DURATION_MS;) {
     nowMs += (-Math.log(1 - random()) * 1_000) / PROMPTS_PER_S;
     const tokens = drawTokens(random);
-    const first = freeMs.indexOf(Math.min(...freeMs));
-    const waitMs = Math.max(0, freeMs[first]! - nowMs);
-    const isServed = waitMs + counted(tokens) / TOKENS_PER_MS <= GOAL_MS;
-    if (isServed) freeMs[first] = nowMs + waitMs + tokens / TOKENS_PER_MS;
+    const engine = freeMs.indexOf(Math.min(...freeMs));
+    const waitMs = Math.max(0, freeMs[engine]! - nowMs);
+    const isServed = waitMs + countTokens(tokens) / TOKENS_PER_MS <= GOAL_MS;
+    if (isServed) freeMs[engine] = nowMs + waitMs + tokens / TOKENS_PER_MS;
     prompts.push({tokens, isServed});
   }
   return prompts;
@@ -41,8 +41,8 @@
   return 350 + Math.min(6_000, 2_200 * Math.exp(0.6 * normal - 0.18));
 }
 
-/** How often the longest tenth is served, against all. */
-function longestAgainstAll(prompts: readonly Prompt[]): number {
+/** Served share of the longest tenth, relative to that of all prompts. */
+function relativeServedShare(prompts: readonly Prompt[]): number {
   const bySize = [...prompts].sort((a, b) => b.tokens - a.tokens);
   const longest = bySize.slice(0, Math.floor(bySize.length / 10));
   return servedShare(longest) / servedShare(prompts);
@@ -52,25 +52,27 @@
   return prompts.filter(({isServed}) => isServed).length / prompts.length;
 }
 
-describe('long prompts in an overload', () => {
-  it.each(SEEDS)('are served like others (seed %i)', (seed) => {
+// Guards against starvation of long prompts: if their whole prefill counts against the
+// goal, none of them is admitted while queues are long.
+describe('long prompts under overload', () => {
+  it.each(SEEDS)('are served nearly as often as others (seed %i)', (seed) => {
     const sizes = new PromptSizes();
-    const counted = (tokens: number): number => {
+    const countTokens = (tokens: number): number => {
       sizes.note(tokens);
       return sizes.countedTokens(tokens);
     };
-    const share = longestAgainstAll(serve(counted, createRandom(seed)));
+    const share = relativeServedShare(serve(countTokens, createRandom(seed)));
     expect(share).toBeGreaterThan(0.5);
   });
 
-  it.each(SEEDS)('starve where their own length counts (seed %i)', (seed) => {
+  it.each(SEEDS)('starve if their whole length counts (seed %i)', (seed) => {
     const prompts = serve((tokens) => tokens, createRandom(seed));
-    expect(longestAgainstAll(prompts)).toBeLessThan(0.5);
+    expect(relativeServedShare(prompts)).toBeLessThan(0.5);
   });
 });
 
-describe('the usual length', () => {
-  it('follows what comes', () => {
+describe('cappedTokens', () => {
+  it('follows the lengths of recent prompts', () => {
     const sizes = new PromptSizes();
     for (let count = 0; count < 400; count++) sizes.note(200);
     expect(sizes.countedTokens(5_000)).toBeLessThan(400);
--- a/packages/policy/src/__tests__/returnTime.test.ts
+++ b/packages/policy/src/__tests__/returnTime.test.ts
@@ -2,9 +2,9 @@
 import {describe, expect, it} from 'vitest';
 import {returnAfter} from '../returnTime.js';
 
-describe('the return of callers whom nothing can serve before a known moment', () => {
-  // Guards against callers who come back before it, or all at once.
-  it('is spread after that moment, and never before it', () => {
+describe('drawRetryAfter', () => {
+  // Guards against callers that retry too early, or all at once.
+  it('spreads retry times, none of them before the given time', () => {
     const random = createRandom(3);
     const times = Array.from(
       {length: 200},
--- a/packages/policy/src/__tests__/roomWait.test.ts
+++ b/packages/policy/src/__tests__/roomWait.test.ts
@@ -18,8 +18,8 @@
   inTime: number;
   late: number;
   refused: number;
-  /** Time that callers spent waiting before they were refused. */
-  heldInVainMs: number;
+  /** Total time that refused callers waited. */
+  refusedWaitMs: number;
 }
 
 function toPlace(arrivedMs: number): WaitingPlace {
@@ -32,11 +32,15 @@
 }
 
 /**
- * A queue of one rank: 8 prompts a second come for 4 s, and room for
- * `roomPerStep` tokens opens every 40 ms, none at all before `opensAtMs`.
+ * Simulates a queue of one rank: 8 prompts per second arrive for 4 s, and room for
+ * `roomPerStep` tokens becomes free every 40 ms from `opensAtMs` on.
  */
-function play(decide: Decide, roomPerStep: number, opensAtMs: number): Tally {
-  const tally = {inTime: 0, late: 0, refused: 0, heldInVainMs: 0};
+function simulateQueue(
+  decide: Decide,
+  roomPerStep: number,
+  opensAtMs: number,
+): Tally {
+  const tally = {inTime: 0, late: 0, refused: 0, refusedWaitMs: 0};
   const drain = new DrainRate();
   let waiting: number[] = [];
   let room = 0;
@@ -66,17 +70,17 @@
       });
       if (decision.kind === 'wait') return true;
       tally.refused++;
-      tally.heldInVainMs += waitedMs;
+      tally.refusedWaitMs += waitedMs;
       return false;
     });
-    // Room does not pile up: it goes to runs that grow.
+    // Free room does not accumulate: running generations use it as they grow.
     if (waiting.length === 0) room = Math.min(room, PROMPT_TOKENS);
     if (before > 0) drain.note(STEP_MS, admitted);
   }
   return tally;
 }
 
-/** What was done before: a wait of a fixed share of the goal. */
+/** Baseline: waits for a fixed share of the goal. */
 function fixedWait({waitedMs}: RoomQuestion): RoomDecision {
   if (waitedMs < GOAL_MS * 0.22) return {kind: 'wait'};
   return {kind: 'refuse', retryAfterMs: GOAL_MS * 1.5};
@@ -84,34 +88,36 @@
 
 const forecast: Decide = (question) => decideRoom(question, () => 0.5);
 
+// Guards against callers that wait in vain: with a fixed wait all are held equally long,
+// even if no room is to be expected.
 describe('decideRoom', () => {
   describe('when room is short for half a second', () => {
-    it('serves at most a tenth fewer in time than a fixed wait', () => {
-      const before = play(fixedWait, 1_200, 500);
-      const after = play(forecast, 1_200, 500);
+    it('serves at most 10 % fewer in time than a fixed wait', () => {
+      const before = simulateQueue(fixedWait, 1_200, 500);
+      const after = simulateQueue(forecast, 1_200, 500);
       expect(after.inTime).toBeGreaterThan(before.inTime * 0.9);
     });
   });
 
-  describe('when half of what comes can be served', () => {
-    it('serves as many in time and refuses the others twice as soon', () => {
-      const before = play(fixedWait, 400, 0);
-      const after = play(forecast, 400, 0);
+  describe('when half of the load can be served', () => {
+    it('serves as many in time and refuses the others in less than half the time', () => {
+      const before = simulateQueue(fixedWait, 400, 0);
+      const after = simulateQueue(forecast, 400, 0);
       expect(after.inTime).toBeGreaterThanOrEqual(before.inTime);
-      expect(after.heldInVainMs).toBeLessThan(before.heldInVainMs / 2);
+      expect(after.refusedWaitMs).toBeLessThan(before.refusedWaitMs / 2);
     });
   });
 
-  describe('when no room opens at all', () => {
-    it('holds callers in vain for less than half as long', () => {
-      const before = play(fixedWait, 0, 0);
-      const after = play(forecast, 0, 0);
+  describe('when no room becomes free', () => {
+    it('lets callers wait in vain for less than half as long', () => {
+      const before = simulateQueue(fixedWait, 0, 0);
+      const after = simulateQueue(forecast, 0, 0);
       expect(after.refused).toBe(before.refused);
-      expect(after.heldInVainMs).toBeLessThan(before.heldInVainMs / 2);
+      expect(after.refusedWaitMs).toBeLessThan(before.refusedWaitMs / 2);
     });
   });
 
-  it('lets nobody return before a shortage is likely to be over', () => {
+  it('sets the retry time to when the shortage is likely to be over', () => {
     const decision = decideRoom(
       {
         expectedWaitMs: 600,
@@ -125,7 +131,7 @@
     expect(decision).toEqual({kind: 'refuse', retryAfterMs: 3_000});
   });
 
-  it('spreads return times around the forecast', () => {
+  it('spreads retry times around the forecast', () => {
     const random = createRandom(5);
     const times = Array.from({length: 40}, () => {
       const decision = decideRoom(
@@ -147,7 +153,7 @@
 });
 
 describe('DrainRate', () => {
-  it('follows a change of pace within a few half-lives', () => {
+  it('follows a change of the rate within a few half-lives', () => {
     const rate = new DrainRate();
     for (let step = 0; step < 100; step++) rate.note(STEP_MS, 400);
     expect(rate.timeForMs(10_000)).toBeCloseTo(1_000, -2);
@@ -155,7 +161,7 @@
     expect(rate.timeForMs(10_000)).toBeGreaterThan(7_000);
   });
 
-  it('stays finite when nothing opens for long', () => {
+  it('stays finite when nothing is admitted for a long time', () => {
     const rate = new DrainRate();
     rate.note(600_000, 0);
     expect(rate.timeForMs(3_000)).toBeLessThan(Infinity);
--- a/packages/policy/src/__tests__/runOutlook.test.ts
+++ b/packages/policy/src/__tests__/runOutlook.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {chanceToGoOn, mostAtRisk} from '../runOutlook.js';
+import {chanceToContinue, mostAtRisk} from '../runOutlook.js';
 import type {RunOutlook} from '../runOutlook.js';
 
 function run(
@@ -11,18 +11,18 @@
   return {requestId, producedTokens, expectedOutputTokens, promptTokens};
 }
 
-describe('the outlook of a run', () => {
-  it('is better for what has just begun', () => {
-    const early = chanceToGoOn(run('a', 10), 150);
-    const late = chanceToGoOn(run('b', 10, 50), 150);
-    expect(early).toBeGreaterThan(0.9);
-    expect(late).toBeLessThan(0.6);
+describe('chanceToContinue', () => {
+  it('is higher for a longer expected output', () => {
+    const long = chanceToContinue(run('a', 10), 150);
+    const short = chanceToContinue(run('b', 10, 50), 150);
+    expect(long).toBeGreaterThan(0.9);
+    expect(short).toBeLessThan(0.6);
   });
 
-  it('is a chance, whatever the estimate', () => {
+  it('is between 0 and 1 for any estimate', () => {
     for (const produced of [0, 1, 50, 5_000]) {
       for (const expected of [0, 1, 100, 100_000]) {
-        const chance = chanceToGoOn(run('a', produced, expected), 200);
+        const chance = chanceToContinue(run('a', produced, expected), 200);
         expect(chance).toBeGreaterThanOrEqual(0);
         expect(chance).toBeLessThanOrEqual(1);
       }
@@ -30,19 +30,19 @@
   });
 
   describe('mostAtRisk', () => {
-    it('takes what loses most for its copy', () => {
+    it('chooses the run with the largest expected loss', () => {
       const long = run('long', 100, 2_000);
       const short = run('short', 100, 120);
       expect(mostAtRisk([short, long], 1_500, 10)?.requestId).toBe('long');
     });
 
-    it('takes the smaller of two that are worth the same', () => {
+    it('chooses the smaller of two runs with the same output', () => {
       const heavy = run('heavy', 100, 900, 6_000);
       const light = run('light', 100, 900, 1_000);
       expect(mostAtRisk([heavy, light], 1_500, 10)?.requestId).toBe('light');
     });
 
-    it('takes none of none', () => {
+    it('chooses none if there are no runs', () => {
       expect(mostAtRisk([], 1_500, 10)).toBeUndefined();
     });
   });
--- a/packages/policy/src/__tests__/viewForecast.test.ts
+++ b/packages/policy/src/__tests__/viewForecast.test.ts
@@ -6,70 +6,76 @@
 const HEARTBEAT_MS = 1_200;
 const middle = (): number => 0.5;
 
-function answering(answersForMs: number): ViewFacts {
+function reachable(answersForMs: number): ViewFacts {
   return {answersForMs, awayForMs: 0, heartbeatMs: HEARTBEAT_MS};
 }
 
-function away(awayForMs: number): ViewFacts {
+function unreachable(awayForMs: number): ViewFacts {
   return {answersForMs: undefined, awayForMs, heartbeatMs: HEARTBEAT_MS};
 }
 
 /**
- * Calls come for a second after the store's return and stay for `patienceMs`;
- * endpoints are back at `backAtMs`. Returns how many are answered, if each that
- * is refused comes back once.
+ * Simulates calls in the first second after the store is reachable again. Callers stay
+ * for `maxWaitMs` and retry once after a refusal; endpoints register at
+ * `registeredAtMs`. Returns the number of calls that are served.
  */
 function servedCalls(
-  backAtMs: number,
-  patienceMs: number,
+  registeredAtMs: number,
+  maxWaitMs: number,
   decide: typeof decideWithoutEndpoint,
 ): number {
   const random = createRandom(7);
   let served = 0;
   for (let atMs = 0; atMs < 1_000; atMs += 20) {
-    const first = decide(answering(atMs), patienceMs, random);
+    const first = decide(reachable(atMs), maxWaitMs, random);
     const waitsUntilMs = first.kind === 'wait' ? atMs + first.forMs : atMs;
-    // Callers honour a return time up to a third of the time they have left.
-    const returnsAtMs =
+    // Callers delay a retry by at most a third of their remaining time.
+    const retriesAtMs =
       first.kind === 'refuse'
-        ? atMs + Math.min(first.retryAfterMs, patienceMs / 3)
+        ? atMs + Math.min(first.retryAfterMs, maxWaitMs / 3)
         : waitsUntilMs;
-    if (backAtMs <= Math.max(waitsUntilMs, returnsAtMs)) served++;
+    if (registeredAtMs <= Math.max(waitsUntilMs, retriesAtMs)) served++;
   }
   return served;
 }
 
+// Guards against refusals while endpoints register again after an outage: calls that
+// retry too early use up their only retry.
 describe('decideWithoutEndpoint', () => {
-  it('serves calls that came while endpoints were returning', () => {
-    const refuseSoon: typeof decideWithoutEndpoint = () => ({
+  it('serves calls that arrive while endpoints register again', () => {
+    const refuseBriefly: typeof decideWithoutEndpoint = () => ({
       kind: 'refuse',
       retryAfterMs: 58,
     });
-    expect(servedCalls(700, 950, refuseSoon)).toBeLessThan(20);
+    expect(servedCalls(700, 950, refuseBriefly)).toBeLessThan(20);
     expect(servedCalls(700, 950, decideWithoutEndpoint)).toBeGreaterThan(35);
   });
 
-  it('refuses at once who leaves before an endpoint is likely', () => {
-    const decision = decideWithoutEndpoint(answering(0), 300, middle);
+  it('refuses immediately if the caller leaves before an endpoint is likely', () => {
+    const decision = decideWithoutEndpoint(reachable(0), 300, middle);
     expect(decision).toEqual({kind: 'refuse', retryAfterMs: HEARTBEAT_MS});
   });
 
-  it('refuses at once for a service that has none', () => {
-    const decision = decideWithoutEndpoint(answering(5_000), 30_000, middle);
+  it('refuses immediately if the service has no endpoint', () => {
+    const decision = decideWithoutEndpoint(reachable(5_000), 30_000, middle);
     expect(decision.kind).toBe('refuse');
   });
 
-  it('expects an outage to last as long again as it has', () => {
-    expect(decideWithoutEndpoint(away(2_000), 30_000, middle)).toEqual({
+  it('expects an outage to last as long again as it has lasted', () => {
+    expect(decideWithoutEndpoint(unreachable(2_000), 30_000, middle)).toEqual({
       kind: 'refuse',
       retryAfterMs: 3_200,
     });
   });
 
-  it('spreads return times', () => {
+  it('spreads retry times', () => {
     const random = createRandom(3);
     const times = Array.from({length: 50}, () => {
-      const decision = decideWithoutEndpoint(away(1_000), 30_000, random);
+      const decision = decideWithoutEndpoint(
+        unreachable(1_000),
+        30_000,
+        random,
+      );
       return decision.kind === 'refuse' ? decision.retryAfterMs : 0;
     });
     expect(new Set(times).size).toBeGreaterThan(40);
@@ -79,15 +85,15 @@
 });
 
 describe('decideWithoutConfig', () => {
-  it('waits right after the start, while the first answer is due', () => {
-    expect(decideWithoutConfig(away(40), middle)).toEqual({
+  it('waits right after the start, until the first response is due', () => {
+    expect(decideWithoutConfig(unreachable(40), middle)).toEqual({
       kind: 'wait',
       forMs: 260,
     });
   });
 
-  it('refuses once the store does not answer', () => {
-    expect(decideWithoutConfig(away(800), middle)).toEqual({
+  it('refuses once the store has not responded in time', () => {
+    expect(decideWithoutConfig(unreachable(800), middle)).toEqual({
       kind: 'refuse',
       retryAfterMs: 2_000,
     });
--- a/packages/policy/src/__tests__/waitingOrder.test.ts
+++ b/packages/policy/src/__tests__/waitingOrder.test.ts
@@ -17,25 +17,27 @@
 describe('compareWaiting', () => {
   const late = place({inTimeUntilMs: NOW_MS - 1, deadlineMs: NOW_MS + 2_000});
 
-  it('puts who can be in time before who cannot', () => {
+  it('puts generations that can meet their goal before those that cannot', () => {
     expect(compareWaiting(place(), late, NOW_MS)).toBeLessThan(0);
   });
 
-  it('never inverts ranks', () => {
+  it('puts a higher rank first, even if it is late', () => {
     const lower = place({routeRank: 1});
     expect(compareWaiting(late, lower, NOW_MS)).toBeLessThan(0);
     const lowest = place({organisationRank: 1, routeRank: 0});
     expect(compareWaiting(lower, lowest, NOW_MS)).toBeLessThan(0);
   });
 
-  it('puts who came back, with less time left, before newcomers', () => {
+  it('puts a retry, with less time left, before newcomers', () => {
     const returned = place({deadlineMs: NOW_MS + 4_000});
     expect(compareWaiting(returned, place(), NOW_MS)).toBeLessThan(0);
   });
 
-  it('serves more in time than order of arrival does after a burst', () => {
+  // Guards against metastable overload: in order of arrival, a queue that is longer than
+  // the goal serves everyone late, even after the load has fallen.
+  it('serves more in time after a burst than the order of arrival', () => {
     const inTime = (isOrdered: boolean): number => {
-      // Forty wait at once, room for one and a newcomer come each 100 ms.
+      // 40 wait at first; every 100 ms one arrives and one is admitted.
       let waiting = Array.from({length: 40}, () => ({atMs: 0}));
       let count = 0;
       for (let nowMs = 0; nowMs < 8_000; nowMs += 100) {
--- a/packages/policy/src/__tests__/watchPace.test.ts
+++ b/packages/policy/src/__tests__/watchPace.test.ts
@@ -3,34 +3,36 @@
 
 const DRAIN_MS = 2_000;
 
-/** Delay from the first of `count` registrations until all are known. */
+/** Delay from the last of `count` registrations until all are known. */
 function delayUntilAllKnown(view: ViewState, count: number): number {
   const registeredMs = Array.from({length: count}, (_, index) => index * 40);
   let knownAtMs = 0;
-  let lookMs = 0;
+  let watchAtMs = 0;
   while (registeredMs.some((atMs) => atMs > knownAtMs)) {
-    // The watch answers with all that came, and is asked again after the pause.
-    knownAtMs = lookMs;
-    lookMs += Math.max(1, gatherMs(DRAIN_MS, view));
+    // A watch returns all registrations so far; the next one starts after the pause.
+    knownAtMs = watchAtMs;
+    watchAtMs += Math.max(1, gatherMs(DRAIN_MS, view));
   }
   return knownAtMs - registeredMs.at(-1)!;
 }
 
-describe('gatherMs', () => {
-  it('lets changes gather for part of the drain bound', () => {
+// Guards against a slow recovery from a complete outage: while endpoints register one
+// by one, the settled pause after the first would delay the discovery of all others.
+describe('batchDelayMs', () => {
+  it('batches changes for a share of the drain bound', () => {
     expect(gatherMs(DRAIN_MS, ViewState.SETTLED)).toBe(600);
   });
 
-  it('never waits while a service has no endpoint', () => {
+  it('does not wait while a service has no endpoint', () => {
     expect(gatherMs(DRAIN_MS, ViewState.LACKING)).toBe(0);
   });
 
-  it('knows all returning endpoints within a fifth of the settled pause', () => {
+  it('discovers all endpoints after an outage within a fifth of the settled pause', () => {
     expect(delayUntilAllKnown(ViewState.UNSETTLED, 14)).toBeLessThan(130);
     expect(delayUntilAllKnown(ViewState.LACKING, 14)).toBeLessThan(10);
   });
 
-  it('waits no longer than settled under a tight bound', () => {
+  it('waits no longer than a settled view if the bound is tight', () => {
     expect(gatherMs(200, ViewState.UNSETTLED)).toBe(60);
   });
 });
--- a/packages/policy/src/admission.ts
+++ b/packages/policy/src/admission.ts
@@ -1,25 +1,29 @@
 import {assertNever} from '@lilacledge/shared';
 import type {SurvivalEstimate} from './lengthModel.js';
 
-/** A generation as the accounting of an engine's memory sees it. */
+/** A generation's use of an engine's memory. */
 export interface MemoryClaim {
-  /** Tokens held now: prompt and output so far. */
+  /** Tokens in memory now: the prompt and the output so far. */
   readonly heldTokens: number;
-  /** Output so far. */
+  /** Output tokens so far. */
   readonly produced: number;
-  /** Most output that was asked for. */
+  /** Largest output that the caller allows. */
   readonly maxTokens: number;
+  /** How long its output is likely to become. */
   readonly lengths: SurvivalEstimate;
 }
 
-/** The rules by which memory is granted; see docs/design/admission.md. */
+/** How memory is allocated to generations; see docs/design/admission.md. */
 export type AdmissionRule =
   | {readonly kind: 'expected'; readonly overflowChance: number}
   | {readonly kind: 'reserveMaximum'}
   | {readonly kind: 'fixedReserve'; readonly reserveShare: number}
   | {readonly kind: 'free'};
 
-/** Share of an engine that is kept free of work this much above short. */
+/**
+ * Share of an engine that is reserved for shorter generations, for each doubling of
+ * the expected output above `SHORT_OUTPUT_TOKENS`.
+ */
 const HEADROOM_PER_OCTAVE = 0.06;
 const MAX_HEADROOM = 0.25;
 
@@ -27,8 +31,8 @@
 const SHORT_OUTPUT_TOKENS = 96;
 
 /**
- * The part of an engine that a generation may help to fill. The longer its
- * expected output, the more is left to short ones, which soon give it back.
+ * The capacity up to which a generation may fill an engine. The longer its expected
+ * output, the more is left to short generations, which free it again soon.
  */
 export function usableCapacity(
   capacity: EngineCapacity,
@@ -51,7 +55,7 @@
   | {readonly outcome: 'admit'}
   | {readonly outcome: 'wait'; readonly reason: 'memory' | 'batch'};
 
-/** Output tokens ahead at which the use of memory is looked at. */
+/** Numbers of further output tokens at which memory use is estimated. */
 const HORIZONS_TOKENS: readonly number[] = [
   8, 32, 96, 256, 640, 1_536, 4_096, 10_240,
 ];
@@ -60,7 +64,7 @@
 const WAIT_FOR_MEMORY: AdmissionDecision = {outcome: 'wait', reason: 'memory'};
 const WAIT_FOR_BATCH: AdmissionDecision = {outcome: 'wait', reason: 'batch'};
 
-/** Decides whether `candidate` may join the `running` generations. */
+/** Decides whether `candidate` may join the batch of `running` generations. */
 export function decideAdmission(
   rule: AdmissionRule,
   capacity: EngineCapacity,
@@ -93,35 +97,42 @@
 }
 
 /**
- * The highest chance, over all horizons, that the claims together need more
- * than the memory. Each claim is alive at a horizon with its conditional
- * survival; the sum is taken as normal.
+ * The highest probability over all horizons that the claims together exceed the
+ * memory. A claim is still running at a horizon with its conditional survival
+ * probability; the total is approximated by a normal distribution.
  */
 export function overflowChance(
   claims: readonly MemoryClaim[],
   memoryTokens: number,
 ): number {
-  let worst = sum(claims, heldOf) > memoryTokens ? 1 : 0;
+  let maxChance = sum(claims, heldOf) > memoryTokens ? 1 : 0;
   for (const horizon of HORIZONS_TOKENS) {
     let mean = 0;
     let variance = 0;
     for (const claim of claims) {
-      const alive = aliveAt(claim, horizon);
-      const held = claim.heldTokens + horizon;
-      mean += alive * held;
-      variance += alive * (1 - alive) * held * held;
+      const survival = survivalAt(claim, horizon);
+      const heldTokens = claim.heldTokens + horizon;
+      mean += survival * heldTokens;
+      variance += survival * (1 - survival) * heldTokens * heldTokens;
     }
-    worst = Math.max(worst, chanceAbove(memoryTokens, mean, variance));
+    maxChance = Math.max(
+      maxChance,
+      probabilityAbove(memoryTokens, mean, variance),
+    );
   }
-  return worst;
+  return maxChance;
 }
 
-function aliveAt(claim: MemoryClaim, horizon: number): number {
+function survivalAt(claim: MemoryClaim, horizon: number): number {
   if (claim.produced + horizon >= claim.maxTokens) return 0;
   return claim.lengths.survival(claim.produced, horizon);
 }
 
-function chanceAbove(limit: number, mean: number, variance: number): number {
+function probabilityAbove(
+  limit: number,
+  mean: number,
+  variance: number,
+): number {
   if (variance < 1) return mean > limit ? 1 : 0;
   return normalTail((limit - mean) / Math.sqrt(variance));
 }
--- a/packages/policy/src/bulkReads.ts
+++ b/packages/policy/src/bulkReads.ts
@@ -1,46 +1,45 @@
 /**
- * How a large value of the store is followed that is replaced as a whole, as the
- * configuration is. A watch brings every version since the last answer, so that an
- * answer which takes longer than the pause between two versions is followed by a
- * larger one. Once an answer was long on its way the newest version alone is read,
- * after a pause, until a read brings nothing new.
+ * Chooses between watching and polling a large value of the store that is replaced as
+ * a whole, such as the configuration. A watch returns every version since the last
+ * response. After a slow response only the newest version is read, after a pause,
+ * until a read returns nothing new.
  *
- * Answers the patterns of head-of-line blocking and of work that grows with its own
- * delay: on a small link several versions in one answer take longer than the pause
- * between two, the next answer has more of them, and all other news waits behind.
+ * Prevents head-of-line blocking and a backlog that grows by itself: on a slow link,
+ * a response with several versions takes longer than the interval between versions,
+ * so the next response holds even more of them and delays all other updates.
  */
 
-/** An answer that came within this time leaves the link to others. */
+/** A response that is transferred within this time does not congest the link. */
 const QUICK_MS = 50;
 
 /**
- * Part of the time in which a version must be in force that a pause takes at most.
- * A version that is made right after a read began waits for that read, the pause and
- * its own read, all of which must fit into that time.
+ * Longest pause, as a share of the time within which a version must become active. A
+ * version written right after a read has started waits for that read, the pause and
+ * its own read, and all three must fit into that time.
  */
-const PAUSE_SHARE = 0.2;
+const MAX_PAUSE_SHARE = 0.2;
 
-/** What is asked of the store next. */
+/** The next request to the store. */
 export type NextRead =
-  /** Waits for versions after the last one. */
+  /** Waits for versions newer than the last one. */
   | {readonly kind: 'watch'}
   /** Reads the newest version, after a pause. */
   | {readonly kind: 'newest'; readonly pauseMs: number};
 
-/** How the last answer came. */
+/** The last response of the store. */
 export interface BulkAnswer {
-  /** Time from the head of the answer to its last byte, in milliseconds. */
+  /** Time from the response's head to its last byte. */
   readonly tookMs: number;
-  /** True when it brought a version that was not known. */
+  /** True if it contained a version that was not known yet. */
   readonly isNew: boolean;
 }
 
 /**
- * What follows an answer. The pause is as long as the answer was on its way: the
- * other half of the link is the callers'.
+ * Returns the request that follows a response. The pause is as long as the transfer
+ * of the response, which leaves half of the link's time to callers.
  */
 export function readAfter(answer: BulkAnswer, applyBoundMs: number): NextRead {
   if (!answer.isNew || answer.tookMs < QUICK_MS) return {kind: 'watch'};
-  const pauseMs = Math.min(answer.tookMs, applyBoundMs * PAUSE_SHARE);
+  const pauseMs = Math.min(answer.tookMs, applyBoundMs * MAX_PAUSE_SHARE);
   return {kind: 'newest', pauseMs};
 }
--- a/packages/policy/src/callTimes.ts
+++ b/packages/policy/src/callTimes.ts
@@ -1,36 +1,38 @@
 import {QuantileEstimate} from './quantileEstimate.js';
 
-/** Three calls of a hundred take longer than a usual call's bound. */
-const USUAL_QUANTILE = 0.97;
+/** Quantile after which a call is hedged: 3 of 100 calls take longer. */
+const HEDGE_QUANTILE = 0.97;
 
-/** What is assumed of a plain service before its first answers, in ms. */
-const PRIOR_MS = 150;
+/** Initial estimate of the quantile, before the first responses. */
+const PRIOR_P97_MS = 150;
 
-/** Calls of heavy-tailed services end within this many times the usual bound. */
-const LONGEST_FACTOR = 4;
+/** Calls end within this multiple of the quantile, also with heavy tails. */
+const MAX_EXPECTED_FACTOR = 4;
 
 /**
- * Times of a plain service's calls, as its own answers show them, in ms.
+ * Response times of the calls of one service without generations, learned from its
+ * responses.
  *
- * Answers the pattern of one slow or silent endpoint among good ones: a call that
- * takes longer than 97 of 100 is sent to a second endpoint, which doubles 3 in
- * 100 calls at the most and holds a silent endpoint's callers for one usual call.
- * Learned for each service, so that slow services are not doubled more.
+ * Limits the effect of one slow or unresponsive endpoint: a call that takes longer
+ * than the 97th percentile is also sent to a second endpoint. That duplicates at most
+ * 3 in 100 calls, and callers of an unresponsive endpoint lose no more than the 97th
+ * percentile. It is learned for each service, so that calls to slow services are not
+ * duplicated more often.
  */
 export class CallTimes {
-  private readonly usual = new QuantileEstimate(USUAL_QUANTILE, PRIOR_MS);
+  private readonly p97 = new QuantileEstimate(HEDGE_QUANTILE, PRIOR_P97_MS);
 
   note(tookMs: number): void {
-    this.usual.note(tookMs);
+    this.p97.note(tookMs);
   }
 
-  /** A call without an answer by then is late by its service's own measure. */
+  /** 97th percentile of the response times; a call that takes longer is hedged. */
   get usualMs(): number {
-    return this.usual.value;
+    return this.p97.value;
   }
 
-  /** A call that is still open then has all but certainly no answer to come. */
+  /** A call that takes longer than this will almost certainly get no response. */
   get longestMs(): number {
-    return this.usual.value * LONGEST_FACTOR;
+    return this.p97.value * MAX_EXPECTED_FACTOR;
   }
 }
--- a/packages/policy/src/chooseEndpoint.ts
+++ b/packages/policy/src/chooseEndpoint.ts
@@ -1,21 +1,21 @@
 import {assertNever} from '@lilacledge/shared';
 import type {Random} from '@lilacledge/shared';
 
-/** What an entry knows of one endpoint when it chooses. */
+/** What an entry knows about an endpoint that it may choose. */
 export interface Candidate {
   readonly id: string;
   readonly isSameZone: boolean;
-  /** Requests that this entry has open there. */
+  /** Open requests from this entry to the endpoint. */
   readonly outstanding: number;
-  /** Expected tokens that this entry sent there since the last report. */
+  /** Expected tokens of the requests that this entry sent since the last report. */
   readonly unreportedTokens: number;
-  /** From the endpoint's last report. */
+  /** This and the next four fields: from the endpoint's last load report. */
   readonly predictedWaitMs: number;
   readonly tokenMs: number;
   readonly backlogTokens: number;
   readonly maxBatch: number;
   readonly reportAgeMs: number;
-  /** Prompt tokens that this entry believes to be cached there. */
+  /** Prompt tokens that are probably in the endpoint's prefix cache. */
   readonly cachedTokens: number;
 }
 
@@ -36,27 +36,28 @@
 export interface RouteChoice {
   readonly id: string;
   readonly rule: RouteKind;
-  /** Predicted time to the first token, or outstanding requests. */
+  /** Predicted completion time in ms, or the number of outstanding requests. */
   readonly score: number;
+  /** Number of endpoints that were compared. */
   readonly sampled: number;
 }
 
-/** Extra time of a hop to another zone, there and back. */
+/** Extra round-trip time to another zone. */
 const OTHER_ZONE_MS = 3;
 
-/** Candidates looked at, besides the one with most of the prompt cached. */
+/** Candidates compared, besides the one with most of the prompt cached. */
 const SAMPLE_SIZE = 4;
 
-/** A report loses half of its weight in this time. */
+/** Time in which a load report loses half of its weight. */
 const REPORT_HALF_LIFE_MS = 4_000;
 
-/** A chooser of endpoints; keeps only what round robin needs. */
+/** Chooses endpoints for requests; its only state is the round-robin index. */
 export class EndpointChooser {
-  private turn = 0;
+  private nextIndex = 0;
 
   constructor(private readonly random: Random) {}
 
-  /** Chooses among at least one candidate. */
+  /** `candidates` must not be empty. */
   choose(
     rule: RouteKind,
     candidates: readonly Candidate[],
@@ -64,25 +65,35 @@
   ): RouteChoice {
     switch (rule) {
       case RouteKind.ROUND_ROBIN: {
-        const chosen = candidates[this.turn++ % candidates.length]!;
+        const chosen = candidates[this.nextIndex++ % candidates.length]!;
         return {id: chosen.id, rule, score: 0, sampled: 1};
       }
       case RouteKind.LEAST_OUTSTANDING:
-        return best(rule, this.shuffled(candidates, candidates.length), byOpen);
+        return chooseLowestScore(
+          rule,
+          this.drawSample(candidates, candidates.length),
+          outstandingOf,
+        );
       case RouteKind.TWO_CHOICES:
-        return best(rule, this.shuffled(candidates, 2), byOpen);
+        return chooseLowestScore(
+          rule,
+          this.drawSample(candidates, 2),
+          outstandingOf,
+        );
       case RouteKind.PREDICTED: {
-        const sample = this.shuffled(candidates, SAMPLE_SIZE);
-        const holder = cacheHolder(candidates);
+        const sample = this.drawSample(candidates, SAMPLE_SIZE);
+        const holder = findLargestCacheHit(candidates);
         if (holder !== undefined) sample.push(holder);
-        return best(rule, sample, (item) => predictedMs(item, request));
+        return chooseLowestScore(rule, sample, (item) =>
+          predictedCompletionMs(item, request),
+        );
       }
       default:
         return assertNever(rule);
     }
   }
 
-  private shuffled(
+  private drawSample(
     candidates: readonly Candidate[],
     count: number,
   ): Candidate[] {
@@ -97,30 +108,35 @@
 }
 
 /**
- * Predicted time to the answer's end at an endpoint: the reported wait and the
- * time to work the backlog off, both fading with the age of the report; what
- * this entry sent since; the prompt tokens that are not cached; the output at
- * the endpoint's own pace; and the way there. The sum of prefill, queue and
- * pace is the completion time that "Cache Hits Can Create Queues" routes by.
+ * Predicted time until a response from an endpoint is complete. Sums the reported
+ * wait and backlog, both discounted by the age of the report, the tokens that this
+ * entry has sent since, the prompt tokens that are not cached, the output at the
+ * endpoint's time per token and the network round trip. The paper "Cache Hits Can
+ * Create Queues" routes by this sum of queueing, prefill and decoding time.
  */
-export function predictedMs(item: Candidate, request: RouteRequest): number {
-  const trust = 0.5 ** (item.reportAgeMs / REPORT_HALF_LIFE_MS);
+export function predictedCompletionMs(
+  item: Candidate,
+  request: RouteRequest,
+): number {
+  const reportWeight = 0.5 ** (item.reportAgeMs / REPORT_HALF_LIFE_MS);
   const uncached = Math.max(0, request.promptTokens - item.cachedTokens);
   const sharedTokenMs = item.tokenMs / item.maxBatch;
-  const backlog = item.backlogTokens * trust + item.unreportedTokens;
+  const backlog = item.backlogTokens * reportWeight + item.unreportedTokens;
   return (
-    item.predictedWaitMs * trust +
+    item.predictedWaitMs * reportWeight +
     (backlog + uncached) * sharedTokenMs +
     request.expectedTokens * item.tokenMs +
     (item.isSameZone ? 0 : OTHER_ZONE_MS)
   );
 }
 
-function byOpen(item: Candidate): number {
+function outstandingOf(item: Candidate): number {
   return item.outstanding;
 }
 
-function cacheHolder(candidates: readonly Candidate[]): Candidate | undefined {
+function findLargestCacheHit(
+  candidates: readonly Candidate[],
+): Candidate | undefined {
   let holder: Candidate | undefined;
   for (const item of candidates) {
     if (item.cachedTokens > (holder?.cachedTokens ?? 0)) holder = item;
@@ -128,7 +144,7 @@
   return holder;
 }
 
-function best(
+function chooseLowestScore(
   rule: RouteKind,
   sample: readonly Candidate[],
   scoreOf: (item: Candidate) => number,
--- a/packages/policy/src/enginePace.ts
+++ b/packages/policy/src/enginePace.ts
@@ -1,36 +1,33 @@
 import {QuantileEstimate} from './quantileEstimate.js';
 
-/** Half of the forecasts are too long, and half too short. */
 const MEDIAN = 0.5;
 
-/** Three outputs of a hundred come more slowly than this. */
-const SLOW_QUANTILE = 0.97;
+/** 3 of 100 outputs are slower. */
+const P97_QUANTILE = 0.97;
 
-/** Engines may fill further while an output is made that must not be cut. */
-const LONGEST_FACTOR = 2;
+/** Allows for engines that slow down under more load during a generation. */
+const MAX_EXPECTED_FACTOR = 2;
 
 /**
- * What is assumed before answers come, in milliseconds a token, from the engines
- * served so far: a chunk of 112 prompt tokens in 16 ms beside other work; an output
- * token in 10 ms, and in 12.5 beside much other work.
+ * Initial estimates per token, taken from known engines under load: 112 prompt tokens
+ * take 16 ms; an output token takes 10 ms, and 12.5 ms under heavy load.
  */
 const PRIOR_PROMPT_TOKEN_MS = 1 / 7;
 const PRIOR_OUTPUT_TOKEN_MS = 10;
-const PRIOR_SLOW_OUTPUT_TOKEN_MS = 12.5;
+const PRIOR_P97_OUTPUT_TOKEN_MS = 12.5;
 
-/** Below these, the way there and a step's start weigh more than the tokens. */
-const LEAST_READ_TOKENS = 200;
-const LEAST_OUTPUT_TOKENS = 16;
+/** For fewer tokens, network and step overhead would dominate the measurement. */
+const MIN_PREFILL_TOKENS = 200;
+const MIN_OUTPUT_TOKENS = 16;
 
 /**
- * How fast the engines of one service work, as their own answers show it. It is
- * learned for each service and process, in constant memory; some forty answers
- * follow a change of pace by half.
+ * Prefill and decoding speed of the engines of one service, learned from their
+ * responses. Each process learns it for each service, in constant memory; the
+ * estimate follows a change by half within some 40 responses.
  *
- * Answers the pattern of a forecast that is sized for other engines: who waits, who
- * is refused, which engine is taken and which run is moved first all ask how long
- * a prompt is read and an output made. On other engines than those it was set for, a
- * fixed pace is wrong for good.
+ * The forecasts that decide which requests wait or are refused, which engine is
+ * chosen and which run is moved first depend on it. A fixed speed would be wrong for
+ * every engine other than the one it was configured for.
  */
 export class EnginePace {
   private readonly promptTokenMs = new QuantileEstimate(
@@ -41,46 +38,46 @@
     MEDIAN,
     PRIOR_OUTPUT_TOKEN_MS,
   );
-  private readonly slowOutputTokenMs = new QuantileEstimate(
-    SLOW_QUANTILE,
-    PRIOR_SLOW_OUTPUT_TOKEN_MS,
+  private readonly p97OutputTokenMs = new QuantileEstimate(
+    P97_QUANTILE,
+    PRIOR_P97_OUTPUT_TOKEN_MS,
   );
 
   constructor(
-    /** False where the assumed pace is kept, whatever answers show. */
+    /** False to keep the initial estimates. */
     private readonly isLearned = true,
   ) {}
 
-  /** A first event came `tookMs` after a send, with `tokens` to be read before it. */
+  /** Records that a first event took `tookMs` from the send, with `tokens` to prefill. */
   noteRead(tokens: number, tookMs: number): void {
-    if (!this.isLearned || tokens < LEAST_READ_TOKENS) return;
+    if (!this.isLearned || tokens < MIN_PREFILL_TOKENS) return;
     this.promptTokenMs.note(tookMs / tokens);
   }
 
-  /** A run made `tokens` in `tookMs`, without a pause for a move. */
+  /** Records that a run produced `tokens` in `tookMs`, time of a move not included. */
   noteOutput(tokens: number, tookMs: number): void {
-    if (!this.isLearned || tokens < LEAST_OUTPUT_TOKENS) return;
+    if (!this.isLearned || tokens < MIN_OUTPUT_TOKENS) return;
     this.outputTokenMs.note(tookMs / tokens);
-    this.slowOutputTokenMs.note(tookMs / tokens);
+    this.p97OutputTokenMs.note(tookMs / tokens);
   }
 
-  /** Time until that many prompt tokens are read, in milliseconds. */
+  /** Median time to prefill that many prompt tokens. */
   readMs(tokens: number): number {
     return tokens * this.promptTokenMs.value;
   }
 
-  /** Time that an output usually takes, in milliseconds. */
+  /** Median time to produce that many output tokens. */
   outputMs(tokens: number): number {
     return tokens * this.outputTokenMs.value;
   }
 
-  /** Time that all but three outputs of a hundred take, in milliseconds. */
+  /** 97th percentile of the time to produce that many output tokens. */
   slowOutputMs(tokens: number): number {
-    return tokens * this.slowOutputTokenMs.value;
+    return tokens * this.p97OutputTokenMs.value;
   }
 
-  /** Time in which an output is all but certainly made, in milliseconds. */
+  /** Time within which that many output tokens are almost certainly produced. */
   longestOutputMs(tokens: number): number {
-    return this.slowOutputMs(tokens) * LONGEST_FACTOR;
+    return this.slowOutputMs(tokens) * MAX_EXPECTED_FACTOR;
   }
 }
--- a/packages/policy/src/freshLook.ts
+++ b/packages/policy/src/freshLook.ts
@@ -1,32 +1,33 @@
 import type {Random} from '@lilacledge/shared';
 
-/** Engines that are asked for their load before a prompt is sent to one of them. */
-const MOST_ASKED = 4;
+/** Engines that are queried for their load before a prompt is sent to one of them. */
+const SAMPLE_SIZE = 4;
 
-/** Part of the engines, the best by their last reports, that these are drawn from. */
-const DRAWN_FROM_SHARE = 0.5;
+/** Share of the engines, the best by their last reports, that the sample is from. */
+const CANDIDATE_SHARE = 0.5;
 
 /**
- * Draws the engines that are looked at afresh for one prompt, in no order. `ranked`
- * holds all that can take it, the best by their last reports first.
+ * Draws the engines that are queried for their current load before a prompt is sent,
+ * in random order. `ranked` holds all eligible engines, the best by their last load
+ * reports first.
  *
- * Answers the pattern of a herd on one report: reports are some hundred milliseconds
- * old and all entries read the same ones, so that an engine which was empty gets the
- * prompts of all entries until the next report, most of all where reports also hold
- * something that changes slowly, as memory does. Four are drawn from the better half, and not the four best taken:
- * those are the same for all entries. It costs two messages an engine that is asked,
- * whatever the number of entries, and one way there and back.
+ * Prevents herding: reports are some hundred milliseconds old and the same for all
+ * entries, so an idle engine would get the prompts of all entries until its next
+ * report. The effect is strongest if reports include a value that changes slowly, such
+ * as memory use. The sample is drawn from the better half instead of taking the four
+ * best, which are the same for all entries. The cost is two messages for each queried
+ * engine, whatever the number of entries, and one round trip.
  */
 export function drawToAsk<T>(ranked: readonly T[], random: Random): T[] {
-  const fromCount = Math.max(
-    MOST_ASKED,
-    Math.ceil(ranked.length * DRAWN_FROM_SHARE),
+  const candidateCount = Math.max(
+    SAMPLE_SIZE,
+    Math.ceil(ranked.length * CANDIDATE_SHARE),
   );
-  const pool = ranked.slice(0, fromCount);
-  const drawn: T[] = [];
-  while (drawn.length < MOST_ASKED && pool.length > 0) {
-    const [one] = pool.splice(Math.floor(random() * pool.length), 1);
-    drawn.push(one!);
+  const pool = ranked.slice(0, candidateCount);
+  const sample: T[] = [];
+  while (sample.length < SAMPLE_SIZE && pool.length > 0) {
+    const [engine] = pool.splice(Math.floor(random() * pool.length), 1);
+    sample.push(engine!);
   }
-  return drawn;
+  return sample;
 }
--- a/packages/policy/src/hedgedRead.ts
+++ b/packages/policy/src/hedgedRead.ts
@@ -1,26 +1,26 @@
 import type {Clock} from '@lilacledge/shared';
 
-/** When a read without an answer is asked again beside the first. */
+/** When a read is repeated while earlier ones are still open. */
 export interface HedgeSettings {
-  /** Time without an answer after which the next read is sent, in milliseconds. */
+  /** Time without a response after which the next read is sent. */
   readonly afterMs: number;
-  /** Reads in all that may be open at a time. */
+  /** Largest total number of reads. */
   readonly mostOpen: number;
 }
 
 /**
- * Resolves with the first read that is good, or with the last that ended when
- * none is. Reads have no effect, so that several may be open.
+ * Resolves with the first result that `isAccepted` accepts, or with the last result if it
+ * accepts none. Reads must be free of side effects, as several may be open at a time.
  *
- * Answers the pattern of a dependency that falls silent and comes back: a call
- * into the silence never gets an answer, and its timeout, sized for a slow
- * dependency, would be the delay after the return. With a read of 1.5 s the
- * delay falls from up to 1.5 s to `afterMs` and one answer. An answer that has begun
- * is not asked for again: on a small link a second copy would slow both.
+ * Shortens the recovery from a dependency that stops responding for a while: a call
+ * sent in that time never gets a response, and its timeout, sized for a slow
+ * dependency, would delay the caller after the dependency is back. With a timeout of
+ * 1.5 s, the delay falls from up to 1.5 s to `afterMs` plus one response time. No read
+ * is sent once a response has started: on a slow link a second copy would slow both.
  */
 export function hedgeRead<T>(
-  read: (begun: () => void) => Promise<T>,
-  isGood: (result: T) => boolean,
+  read: (onResponseStarted: () => void) => Promise<T>,
+  isAccepted: (result: T) => boolean,
   settings: HedgeSettings,
   clock: Clock,
 ): Promise<T> {
@@ -28,7 +28,7 @@
     let open = 0;
     let sent = 0;
     let isSettled = false;
-    let hasBegun = false;
+    let hasResponseStarted = false;
     let cancelNext = (): void => {};
 
     function finish(result: T): void {
@@ -37,20 +37,20 @@
       resolve(result);
     }
 
-    function begun(): void {
-      hasBegun = true;
+    function onResponseStarted(): void {
+      hasResponseStarted = true;
       cancelNext();
     }
 
     function send(): void {
       open++;
       sent++;
-      void read(begun).then((result) => {
+      void read(onResponseStarted).then((result) => {
         open--;
         if (isSettled) return;
-        if (isGood(result) || open === 0) finish(result);
+        if (isAccepted(result) || open === 0) finish(result);
       });
-      if (sent >= settings.mostOpen || hasBegun) return;
+      if (sent >= settings.mostOpen || hasResponseStarted) return;
       cancelNext = clock.after(settings.afterMs, send);
     }
 
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -7,7 +7,11 @@
 } from './admission.js';
 export {AskedRest} from './askedRest.js';
 export {CallTimes} from './callTimes.js';
-export {EndpointChooser, predictedMs, RouteKind} from './chooseEndpoint.js';
+export {
+  EndpointChooser,
+  predictedCompletionMs,
+  RouteKind,
+} from './chooseEndpoint.js';
 export type {Candidate, RouteChoice, RouteRequest} from './chooseEndpoint.js';
 export {
   CrashSuspicions,
@@ -52,7 +56,7 @@
 export {suspectPlace} from './suspectPlace.js';
 export type {SuspectPlace} from './suspectPlace.js';
 export {urgency} from './queueOrder.js';
-export type {QueueRule, Waiting} from './queueOrder.js';
+export type {QueueRule, WaitingGeneration} from './queueOrder.js';
 export {DoubtCause, OutcomeHealth, SILENT_LIMIT} from './outcomeHealth.js';
 export type {Doubt} from './outcomeHealth.js';
 export {prefixBlocks, PrefixHints} from './prefixHints.js';
--- a/packages/policy/src/lengthModel.ts
+++ b/packages/policy/src/lengthModel.ts
@@ -1,33 +1,33 @@
-/** Buckets per doubling of the length. */
+/** Buckets for each doubling of the length. */
 const BUCKETS_PER_OCTAVE = 4;
 const MAX_TOKENS = 131_072;
 const BUCKET_COUNT = toBucket(MAX_TOKENS) + 1;
 
-/** Evidence older than about this many generations fades away. */
-const MEMORY_GENERATIONS = 400;
+/** Number of recent generations in a bucket that dominate its estimate. */
+const DECAY_GENERATIONS = 400;
 
-/** Weight of the parent's estimate, in generations. */
+/** Weight of the parent's estimate, as a number of generations. */
 const PARENT_WEIGHT = 6;
 
-/** Scale of the first guess: half of all outputs are shorter than this. */
+/** Median of the prior distribution. */
 const PRIOR_MEDIAN_TOKENS = 160;
 
-/** Updates after which the cumulated survival is worked out again. */
+/** Updates after which the cumulative survival is recomputed. */
 const REFRESH_UPDATES = 16;
 
-/** Chance of an output to go on, as a function of what it has produced. */
+/** Distribution of the output length, given the tokens produced so far. */
 export interface SurvivalEstimate {
   /** P(length > from + ahead | length > from). */
   survival(from: number, ahead: number): number;
-  /** Expected further tokens after `from`, of an output of at most `max`. */
+  /** Expected number of further tokens after `from`, up to a total of `max`. */
   expectedFurther(from: number, max: number): number;
 }
 
 /**
- * Learns output lengths on line as a hazard per logarithmic bucket: of the
- * generations that reached a bucket, how many ended in it. Generations that
- * still run count as exposure at once, so that a shift towards longer outputs
- * shows before the first long one has ended.
+ * Learns output lengths online as a hazard rate per logarithmic bucket: the share of
+ * the generations that reached a bucket and ended in it. Running generations count as
+ * exposure immediately, so a shift to longer outputs shows before the first of them
+ * has ended.
  */
 export class LengthModel implements SurvivalEstimate {
   private readonly exposure = new Float64Array(BUCKET_COUNT);
@@ -37,7 +37,7 @@
 
   constructor(private readonly parent?: LengthModel) {}
 
-  /** A generation went from `before` to `after` tokens without ending. */
+  /** Records that a generation went from `before` to `after` tokens without ending. */
   advance(before: number, after: number): void {
     const last = toBucket(after);
     for (let bucket = toBucket(before); bucket < last; bucket++) {
@@ -46,7 +46,7 @@
     this.parent?.advance(before, after);
   }
 
-  /** A generation ended by itself after `length` tokens. */
+  /** Records that a generation ended by itself after `length` tokens. */
   end(length: number): void {
     this.record(toBucket(length), 1);
     this.parent?.end(length);
@@ -54,7 +54,9 @@
 
   survival(from: number, ahead: number): number {
     this.refresh();
-    return Math.exp(this.logAt(from + ahead) - this.logAt(from));
+    return Math.exp(
+      this.logSurvivalAt(from + ahead) - this.logSurvivalAt(from),
+    );
   }
 
   expectedFurther(from: number, max: number): number {
@@ -71,9 +73,9 @@
   }
 
   private record(bucket: number, ended: 0 | 1): void {
-    const kept = 1 - 1 / MEMORY_GENERATIONS;
-    this.exposure[bucket] = this.exposure[bucket]! * kept + 1;
-    this.ends[bucket] = this.ends[bucket]! * kept + ended;
+    const decay = 1 - 1 / DECAY_GENERATIONS;
+    this.exposure[bucket] = this.exposure[bucket]! * decay + 1;
+    this.ends[bucket] = this.ends[bucket]! * decay + ended;
     this.updates++;
   }
 
@@ -94,7 +96,7 @@
     this.logSurvival[BUCKET_COUNT] = sum;
   }
 
-  private logAt(tokens: number): number {
+  private logSurvivalAt(tokens: number): number {
     const exact = Math.min(toExactBucket(tokens), BUCKET_COUNT - 1e-9);
     const bucket = Math.floor(exact);
     const start = this.logSurvival[bucket]!;
@@ -104,9 +106,10 @@
 }
 
 /**
- * Length models of one service: one for each organisation and size of limit,
- * under one for each size of limit, under one for the service. The limit that
- * a caller sets is loose, but callers of one kind of work set the same one.
+ * Hierarchy of length models of one service. The model of the service is the parent of
+ * one model for each size of the token limit, which is the parent of one for each
+ * organisation that uses that size. Limits are far above the actual lengths, but
+ * callers with the same kind of work set the same limit.
  */
 export class LengthEstimator {
   private readonly service = new LengthModel();
@@ -114,23 +117,23 @@
 
   constructor(private readonly maxModels = 1_024) {}
 
-  /** The model for an organisation's requests with a limit like `maxTokens`. */
+  /** The model for an organisation's requests with a limit close to `maxTokens`. */
   modelFor(organisationId: string, maxTokens: number): LengthModel {
     const size = Math.round(Math.log2(maxTokens));
-    const ofSize = this.obtain(`${size}`, this.service);
-    return this.obtain(`${size}|${organisationId}`, ofSize);
+    const sizeModel = this.getOrCreate(`${size}`, this.service);
+    return this.getOrCreate(`${size}|${organisationId}`, sizeModel);
   }
 
-  private obtain(id: string, parent: LengthModel): LengthModel {
-    const known = this.models.get(id);
-    if (known !== undefined) return known;
-    this.forgetOldest();
+  private getOrCreate(id: string, parent: LengthModel): LengthModel {
+    const existing = this.models.get(id);
+    if (existing !== undefined) return existing;
+    this.evictOldest();
     const model = new LengthModel(parent);
     this.models.set(id, model);
     return model;
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     if (this.models.size < this.maxModels) return;
     const oldest = this.models.keys().next().value!;
     this.models.delete(oldest);
@@ -145,7 +148,7 @@
   return Math.floor(toExactBucket(Math.min(tokens, MAX_TOKENS)));
 }
 
-/** Hazard of the heavy-tailed first guess S(x) = 1 / (1 + x / median). */
+/** Hazard of the heavy-tailed prior S(x) = 1 / (1 + x / median). */
 function priorHazard(bucket: number): number {
   const from = 2 ** (bucket / BUCKETS_PER_OCTAVE) - 1;
   const to = 2 ** ((bucket + 1) / BUCKETS_PER_OCTAVE) - 1;
--- a/packages/policy/src/linkRings.ts
+++ b/packages/policy/src/linkRings.ts
@@ -1,31 +1,31 @@
 import {hash32} from '@lilacledge/shared';
 
 /**
- * Which members of a large fleet a member links to, so that news reaches all in a few
- * hops and nobody's links grow with the fleet.
+ * Overlay network of a large fleet: chooses the members that a member links to, so
+ * that updates reach all members in a few hops and the links of a member grow only
+ * with the logarithm of the fleet's size.
  *
- * All members stand in several rings, the first in the order of their names and each
- * other in an order of its own that is drawn by a hash; a member links to its next in
- * each. The union of such rings spreads news about as well as a random graph of the
- * same degree, and stays connected when a third of the members is silent.
+ * The members form several rings, the first in the order of their names and each of
+ * the others in a different hash order. A member links to its successor in each ring.
+ * The union of the rings spreads updates about as well as a random graph of the same
+ * degree and stays connected when a third of the members do not respond.
  *
- * Answers the pattern of a reconnection storm: where a place follows from a position
- * in one order, a member more or less shifts every place behind it, and the fleet
- * closes and dials many of its links at once. Here each ring changes at one place: one
- * link a ring is dialled anew when a member goes.
+ * Prevents reconnection storms: if links followed from the index in one list, a member
+ * that joins or leaves would shift all indexes behind it, and the fleet would replace
+ * many links at once. Here one link for each ring is dialled when a member leaves.
  */
 
-/** With this many members for each one before, a ring more is needed. */
+/** Growth of the fleet that adds one ring. */
 const RING_GROWTH = 3;
 
-/** Rings of a fleet: about the logarithm of its size. */
+/** Number of rings, which grows with the logarithm of the fleet's size. */
 export function ringCount(memberCount: number): number {
   let rings = 1;
   for (let size = RING_GROWTH; size < memberCount; size *= RING_GROWTH) rings++;
   return rings;
 }
 
-/** The names that a member links to: its next in each ring. */
+/** Names of the members that a member links to: its successor in each ring. */
 export function nextInRings(
   ownName: string,
   names: readonly string[],
@@ -33,39 +33,39 @@
   const others = names.filter((name) => name !== ownName);
   const next = new Set<string>();
   for (let ring = 0; ring < ringCount(others.length + 1); ring++) {
-    const name = nextAfter(ownName, others, ring);
+    const name = findSuccessor(ownName, others, ring);
     if (name !== undefined) next.add(name);
   }
   return next;
 }
 
-/** A member's place in a ring; the name alone decides between equal hashes. */
-interface Place {
-  readonly point: number;
+/** A member's position in a ring; names decide between equal hashes. */
+interface RingPosition {
+  readonly hash: number;
   readonly name: string;
 }
 
-function placeOf(name: string, ring: number): Place {
-  return {point: ring === 0 ? 0 : hash32(`${ring} ${name}`), name};
+function positionOf(name: string, ring: number): RingPosition {
+  return {hash: ring === 0 ? 0 : hash32(`${ring} ${name}`), name};
 }
 
-function nextAfter(
+function findSuccessor(
   ownName: string,
   others: readonly string[],
   ring: number,
 ): string | undefined {
-  const own = placeOf(ownName, ring);
-  let first: Place | undefined;
-  let next: Place | undefined;
+  const own = positionOf(ownName, ring);
+  let first: RingPosition | undefined;
+  let next: RingPosition | undefined;
   for (const name of others) {
-    const place = placeOf(name, ring);
-    if (first === undefined || isBefore(place, first)) first = place;
-    if (!isBefore(own, place)) continue;
-    if (next === undefined || isBefore(place, next)) next = place;
+    const position = positionOf(name, ring);
+    if (first === undefined || isBefore(position, first)) first = position;
+    if (!isBefore(own, position)) continue;
+    if (next === undefined || isBefore(position, next)) next = position;
   }
   return (next ?? first)?.name;
 }
 
-function isBefore(a: Place, b: Place): boolean {
-  return a.point === b.point ? a.name < b.name : a.point < b.point;
+function isBefore(a: RingPosition, b: RingPosition): boolean {
+  return a.hash === b.hash ? a.name < b.name : a.hash < b.hash;
 }
--- a/packages/policy/src/organisationLimiter.ts
+++ b/packages/policy/src/organisationLimiter.ts
@@ -16,15 +16,15 @@
 interface Usage {
   running: number;
   tokens: number;
-  refilledMs: number;
+  refilledAtMs: number;
 }
 
 const MINUTE_MS = 60_000;
 const CONCURRENT_RETRY_MS = 1_000;
 
 /**
- * One entry's part of each organisation's limits: the limit divided by the
- * number of entries. The worst overshoot is stated in docs/design/limits.md.
+ * Enforces one entry's share of each organisation's limits: the limit divided by the
+ * number of entries. docs/design/limits.md states the largest possible overshoot.
  */
 export class OrganisationLimiter {
   private readonly usage = new Map<string, Usage>();
@@ -36,11 +36,11 @@
     this.entries = Math.max(1, entries);
   }
 
-  /** Takes one running request; a granted one must be released. */
+  /** Counts a request as running if the limits allow it; end it with `release`. */
   take(organisationId: string, limit: OrganisationLimit): LimitDecision {
     const usage = this.usageOf(organisationId, limit);
-    const concurrent = Math.ceil(limit.concurrent / this.entries);
-    if (usage.running >= concurrent) {
+    const maxRunning = Math.ceil(limit.concurrent / this.entries);
+    if (usage.running >= maxRunning) {
       return {
         outcome: 'refused',
         reason: 'concurrent',
@@ -48,15 +48,15 @@
       };
     }
     if (usage.tokens <= 0) {
-      const perMs = this.tokenShare(limit) / MINUTE_MS;
-      const retryAfterMs = Math.ceil((1 - usage.tokens) / perMs);
+      const tokensPerMs = this.tokenShare(limit) / MINUTE_MS;
+      const retryAfterMs = Math.ceil((1 - usage.tokens) / tokensPerMs);
       return {outcome: 'refused', reason: 'tokens', retryAfterMs};
     }
     usage.running++;
     return {outcome: 'granted'};
   }
 
-  /** Ends a granted request and charges the tokens that it used. */
+  /** Ends a granted request and charges the tokens that it used to the limit. */
   release(organisationId: string, tokens: number): void {
     const usage = this.usage.get(organisationId);
     if (usage === undefined) return;
@@ -70,11 +70,11 @@
     const usage = this.usage.get(organisationId) ?? {
       running: 0,
       tokens: share,
-      refilledMs: nowMs,
+      refilledAtMs: nowMs,
     };
-    const earned = ((nowMs - usage.refilledMs) * share) / MINUTE_MS;
-    usage.tokens = Math.min(share, usage.tokens + earned);
-    usage.refilledMs = nowMs;
+    const refilledTokens = ((nowMs - usage.refilledAtMs) * share) / MINUTE_MS;
+    usage.tokens = Math.min(share, usage.tokens + refilledTokens);
+    usage.refilledAtMs = nowMs;
     this.usage.set(organisationId, usage);
     return usage;
   }
--- a/packages/policy/src/promptSizes.ts
+++ b/packages/policy/src/promptSizes.ts
@@ -1,27 +1,28 @@
 import {QuantileEstimate} from './quantileEstimate.js';
 
-/** What is assumed before prompts come: those of the services known so far. */
+/** Initial estimate of the median, taken from known services. */
 const PRIOR_TOKENS = 2_500;
 
 const MEDIAN = 0.5;
 
 /**
- * How long prompts usually are, by which a long one is not held back for its length.
+ * Learns the median prompt length, which limits how much of a prompt's own length
+ * counts in admission.
  *
- * Answers the pattern of starvation by size: where a prompt is taken only if its own
- * reading still ends within the goal, the longest find no engine as soon as queues are
- * long, though whoever comes late is served too. A wait that is bound alike for all
- * serves the longest nearly as often as the others.
+ * Prevents starvation of long prompts: if a prompt were admitted only when its whole
+ * prefill ends within the latency goal, the longest would find no engine as soon as
+ * queues are long, although prompts that are already late are still served. With the
+ * same bound on the wait for all, the longest are served nearly as often as others.
  */
 export class PromptSizes {
-  private readonly usual = new QuantileEstimate(MEDIAN, PRIOR_TOKENS);
+  private readonly medianTokens = new QuantileEstimate(MEDIAN, PRIOR_TOKENS);
 
   note(promptTokens: number): void {
-    this.usual.note(promptTokens);
+    this.medianTokens.note(promptTokens);
   }
 
-  /** The part of a prompt that counts against its goal: no more than is usual. */
+  /** Tokens that count against the latency goal: at most the median length. */
   countedTokens(promptTokens: number): number {
-    return Math.min(promptTokens, this.usual.value);
+    return Math.min(promptTokens, this.medianTokens.value);
   }
 }
--- a/packages/policy/src/quantileEstimate.ts
+++ b/packages/policy/src/quantileEstimate.ts
@@ -1,18 +1,18 @@
 /**
- * Relative step of the estimate. A change of pace by half is followed within
- * some forty values for a high quantile, and one value moves it by a tenth.
+ * Relative step of the estimate: one value moves it by at most a tenth, and a high
+ * quantile follows a change by half within some 40 values.
  */
-const STEP = 0.1;
+const RELATIVE_STEP = 0.1;
 
 /**
- * Follows one quantile of positive values in constant memory: each value above
- * the estimate raises it, each below lowers it, in the proportion at which the
- * two balance at the quantile. Older values fade by themselves.
+ * Tracks one quantile of positive values in constant memory. Values above the estimate
+ * raise it and values below lower it, by steps that balance at the quantile. The
+ * influence of older values decays.
  */
 export class QuantileEstimate {
   /**
    * @param quantile between 0 and 1, exclusive
-   * @param prior what is assumed before values come, in their unit
+   * @param prior initial estimate, in the unit of the values
    */
   constructor(
     private readonly quantile: number,
@@ -30,6 +30,6 @@
   note(value: number): void {
     const isAbove = value > this.estimate;
     const step = isAbove ? this.quantile : this.quantile - 1;
-    this.estimate *= Math.exp(STEP * step);
+    this.estimate *= Math.exp(RELATIVE_STEP * step);
   }
 }
--- a/packages/policy/src/queueOrder.ts
+++ b/packages/policy/src/queueOrder.ts
@@ -1,16 +1,16 @@
 import {assertNever} from '@lilacledge/shared';
 
-/** Levels of urgency that a doubling of an organisation's use costs. */
+/** Levels that a doubling of an organisation's use adds to the key. */
 const ORGANISATION_WEIGHT = 0.4;
 
-/** A waiting generation as the order of a queue sees it. */
-export interface Waiting {
+/** The properties of a waiting generation that decide its position in the queue. */
+export interface WaitingGeneration {
   readonly arrivedMs: number;
-  /** 0 (first) to 9 (last); 5 is usual. */
+  /** 0 (first) to 9 (last); 5 is the default. */
   readonly priority: number;
-  /** Prompt and output tokens that it is expected to need in all. */
+  /** Expected total of prompt and output tokens. */
   readonly expectedTokens: number;
-  /** Share of the engine that its organisation uses, over its fair share. */
+  /** Its organisation's use of the engine, divided by the fair share. */
   readonly organisationUse: number;
 }
 
@@ -19,12 +19,17 @@
   | {readonly kind: 'firstInFirstOut'};
 
 /**
- * Urgency of a waiting generation: the lowest goes first. With `leastAttained`
- * a doubling of the expected work, of the organisation's use and a step of
- * priority weigh one level each, and each `ageingMs` of waiting takes a level
- * off: what is `n` levels behind passes all newcomers after `n * ageingMs`.
+ * Sort key of a waiting generation; the lowest goes first. With `leastAttained`, a
+ * doubling of the expected tokens and a step of priority each add one level, a doubling
+ * of the organisation's use adds `ORGANISATION_WEIGHT` levels, and each `ageingMs` of
+ * waiting removes one: a generation `n` levels behind goes before all newcomers after
+ * `n * ageingMs`.
  */
-export function urgency(rule: QueueRule, item: Waiting, nowMs: number): number {
+export function urgency(
+  rule: QueueRule,
+  item: WaitingGeneration,
+  nowMs: number,
+): number {
   switch (rule.kind) {
     case 'firstInFirstOut':
       return item.arrivedMs;
--- a/packages/policy/src/returnTime.ts
+++ b/packages/policy/src/returnTime.ts
@@ -1,22 +1,25 @@
 import type {Random} from '@lilacledge/shared';
 
-/** A caller is not kept for an answer, and told when to come back instead. */
+/** The request is refused, and the caller is told when to retry. */
 export interface Refusal {
   readonly kind: 'refuse';
   readonly retryAfterMs: number;
 }
 
-/** Return times are drawn this far around the forecast, as a share of it. */
-const SPREAD = 0.2;
+/** Largest deviation of a retry time from the forecast, as a share of it. */
+const JITTER_SHARE = 0.2;
 
-/** Refuses until a forecast, spread so that callers do not return together. */
-export function refuseUntil(forecastMs: number, random: Random): Refusal {
-  const spread = 1 + SPREAD * (2 * random() - 1);
-  return {kind: 'refuse', retryAfterMs: Math.round(forecastMs * spread)};
+/** Refuses with a retry time around `forecastMs`, with jitter against retry bursts. */
+export function drawRetryAround(forecastMs: number, random: Random): Refusal {
+  const factor = 1 + JITTER_SHARE * (2 * random() - 1);
+  return {kind: 'refuse', retryAfterMs: Math.round(forecastMs * factor)};
 }
 
-/** The same where nothing can be had before a known moment: nobody returns earlier. */
-export function returnAfter(leastMs: number, random: Random): Refusal {
-  const spread = 1 + SPREAD * random();
-  return {kind: 'refuse', retryAfterMs: Math.ceil(leastMs * spread)};
+/**
+ * Refuses with a retry time of at least `minMs`, with jitter, if no retry can succeed
+ * earlier.
+ */
+export function returnAfter(minMs: number, random: Random): Refusal {
+  const factor = 1 + JITTER_SHARE * random();
+  return {kind: 'refuse', retryAfterMs: Math.ceil(minMs * factor)};
 }
--- a/packages/policy/src/roomWait.ts
+++ b/packages/policy/src/roomWait.ts
@@ -1,48 +1,48 @@
 import type {Random} from '@lilacledge/shared';
-import {refuseUntil} from './returnTime.js';
+import {drawRetryAround} from './returnTime.js';
 import type {Refusal} from './returnTime.js';
 
-/** A generation that found no room at any engine. */
+/** A generation that found no room at any engine, at the time of the decision. */
 export interface RoomQuestion {
-  /** Time until those ahead and this one are admitted, as the queue drains. */
+  /** Time until it is admitted, at the rate at which the queue drains. */
   readonly expectedWaitMs: number;
-  /** How long it has waited. */
+  /** How long it has been waiting. */
   readonly waitedMs: number;
-  /** How long room has been short, for whomever. */
+  /** How long any generation of the service has been short of room. */
   readonly shortForMs: number;
-  /** Time in which an engine reads its prompt, when it has nothing else to do. */
+  /** Time of its prefill on an idle engine. */
   readonly readMs: number;
-  /** Time until its first event would be late; negative once it is. */
+  /** Time until its first event misses the latency goal; negative once it has. */
   readonly goalLeftMs: number;
 }
 
 export type RoomDecision = {readonly kind: 'wait'} | Refusal;
 
 /**
- * A caller is kept for an answer in time that comes in three of four cases. What
- * is held in vain cannot be asked elsewhere meanwhile, and one that is admitted
- * late holds its memory as long as one in time.
+ * Smallest probability of meeting the latency goal at which a generation may wait. A
+ * caller that waits in vain cannot try elsewhere in that time, and a generation that
+ * is admitted late uses as much memory as one in time.
  */
-const IN_TIME_CHANCE = 0.75;
+const MIN_IN_TIME_CHANCE = 0.75;
 
-/** Shortest time after which room is looked for again, in milliseconds. */
-const LEAST_RETURN_MS = 100;
+/** Shortest time after which a refused caller may retry. */
+const MIN_RETRY_AFTER_MS = 100;
 
 /**
- * Decides whether a generation waits for room or is refused now.
+ * Decides whether a generation waits for room or is refused immediately.
  *
- * Answers the patterns of a queue that is longer than its callers' patience and
- * of refused callers who return too early: nobody is held for a hope below the
- * stated chance. A caller is told to return after the same forecast, but not before
- * the shortage has lasted as long again as it has: who returns into it is refused
- * once more, and has no third try. The wait is taken as
- * exponential around the longer of two forecasts, in milliseconds: the queue's
- * drain, and the time already waited, as a wait that the drain does not explain
- * (a lower rank, one prompt too large) lasts about as long again.
+ * Prevents queues that are longer than callers wait, and retries that come too early.
+ * The wait is modelled as exponential. Its mean is the longer of two forecasts: the
+ * expected wait at the drain rate, and the time waited so far, because a wait that the
+ * drain rate does not explain (a lower rank, a prompt that is too large) lasts about as
+ * long again. A generation is refused if the probability of meeting its goal
+ * is too low. The retry time is the same forecast, but at least the duration of the
+ * shortage so far: a caller that retries during the shortage is refused again and has
+ * no third attempt.
  *
- * By the test's queue, with room for half of what comes, as many are served in
- * time as by a fixed wait of a fifth of the goal, and the others are refused in
- * less than half of the time.
+ * In the test's queue, with room for half of the load, as many generations meet the
+ * goal as with a fixed wait of a fifth of the goal, and the others are refused in less
+ * than half of the time.
  */
 export function decideRoom(
   question: RoomQuestion,
@@ -51,9 +51,13 @@
   const {waitedMs, readMs, goalLeftMs} = question;
   const forecastMs = Math.max(question.expectedWaitMs, waitedMs);
   const inTime = chanceWithin(goalLeftMs - readMs, forecastMs);
-  if (inTime >= IN_TIME_CHANCE) return {kind: 'wait'};
-  const returnMs = Math.max(LEAST_RETURN_MS, forecastMs, question.shortForMs);
-  return refuseUntil(returnMs, random);
+  if (inTime >= MIN_IN_TIME_CHANCE) return {kind: 'wait'};
+  const retryAfterMs = Math.max(
+    MIN_RETRY_AFTER_MS,
+    forecastMs,
+    question.shortForMs,
+  );
+  return drawRetryAround(retryAfterMs, random);
 }
 
 function chanceWithin(timeMs: number, expectedMs: number): number {
--- a/packages/policy/src/runOutlook.ts
+++ b/packages/policy/src/runOutlook.ts
@@ -1,4 +1,4 @@
-/** What is known of a run when its engine leaves. */
+/** Progress and expected length of a run whose engine is leaving. */
 export interface RunOutlook {
   readonly requestId: string;
   readonly promptTokens: number;
@@ -7,39 +7,43 @@
 }
 
 /**
- * Spread of the callers' estimates of their output around what comes, as the
- * standard deviation of the logarithm; both deployments state 1.2.
+ * Standard deviation of the logarithm of the actual output length around the caller's
+ * estimate; both deployments specify 1.2.
  */
-const ESTIMATE_LOG_DEVIATION = 1.2;
+const ESTIMATE_LOG_STD_DEV = 1.2;
 
-/** A run is worth its prompt and ten times its output (rules of credit). */
-const OUTPUT_WORTH = 10;
+/** Value of an output token; a prompt token has a value of 1 (rules of credit). */
+const OUTPUT_TOKEN_VALUE = 10;
 
 /**
- * Chance that a run, which has produced some tokens, goes on for `further`
- * more: its length is taken as log-normal around the caller's estimate.
+ * Probability that a run produces at least `further` more tokens, given those it has
+ * produced. Output lengths are modelled as log-normal around the caller's estimate.
  */
-export function chanceToGoOn(run: RunOutlook, further: number): number {
+export function chanceToContinue(
+  run: RunOutlook,
+  furtherTokens: number,
+): number {
   const now = survival(run.producedTokens, run.expectedOutputTokens);
   if (now < 1e-6) return 1;
   const later = survival(
-    run.producedTokens + further,
+    run.producedTokens + furtherTokens,
     run.expectedOutputTokens,
   );
   return later / now;
 }
 
-/** Worth that is lost per token to be copied, if the run is left behind. */
-export function worthAtRisk(run: RunOutlook, furtherTokens: number): number {
+/** Expected loss of value if the run is not moved, per token to be copied. */
+export function valueAtRisk(run: RunOutlook, furtherTokens: number): number {
   const output = Math.max(run.expectedOutputTokens, run.producedTokens);
-  const worth = run.promptTokens + OUTPUT_WORTH * output;
+  const value = run.promptTokens + OUTPUT_TOKEN_VALUE * output;
   const cost = Math.max(1, run.promptTokens + run.producedTokens);
-  return (worth * chanceToGoOn(run, furtherTokens)) / cost;
+  return (value * chanceToContinue(run, furtherTokens)) / cost;
 }
 
 /**
- * The run that loses most if it is left behind; undefined without runs. `tokenMs`
- * is the time in which a run produces a token beside others.
+ * The run to move first: the one with the largest expected loss per copied token.
+ * `tokenMs` is the time in which a run in a batch produces one token. Undefined if
+ * there are no runs.
  */
 export function mostAtRisk(
   runs: readonly RunOutlook[],
@@ -50,7 +54,7 @@
   let chosen: RunOutlook | undefined;
   let most = 0;
   for (const run of runs) {
-    const risk = worthAtRisk(run, further);
+    const risk = valueAtRisk(run, further);
     if (risk <= most) continue;
     most = risk;
     chosen = run;
@@ -58,9 +62,9 @@
   return chosen;
 }
 
-/** Chance that an output is longer than `tokens`. */
+/** Probability that an output is longer than `tokens`. */
 function survival(tokens: number, median: number): number {
   if (tokens <= 0) return 1;
-  const z = Math.log(tokens / Math.max(1, median)) / ESTIMATE_LOG_DEVIATION;
+  const z = Math.log(tokens / Math.max(1, median)) / ESTIMATE_LOG_STD_DEV;
   return 1 / (1 + Math.exp(1.5976 * z + 0.07056 * z ** 3));
 }
--- a/packages/policy/src/viewForecast.ts
+++ b/packages/policy/src/viewForecast.ts
@@ -1,66 +1,67 @@
 import type {Random} from '@lilacledge/shared';
-import {refuseUntil} from './returnTime.js';
+import {drawRetryAround} from './returnTime.js';
 import type {Refusal} from './returnTime.js';
 
-/** What a process knows of the store, from which its view of endpoints comes. */
+/** State of a process's connection to the store, the source of its endpoint list. */
 export interface ViewFacts {
-  /** How long the store has answered; undefined while it does not. */
+  /** How long the store has been reachable; undefined while it is not. */
   readonly answersForMs: number | undefined;
-  /** How long the store has not answered; 0 while it does. */
+  /** How long the store has been unreachable; 0 while it is reachable. */
   readonly awayForMs: number;
-  /** Pause between two registrations of an endpoint. */
+  /** Interval at which an endpoint renews its registration. */
   readonly heartbeatMs: number;
 }
 
-/** What to do with a request for which something is still missing. */
+/** What to do with a request while the endpoints or configuration are unknown. */
 export type ViewDecision =
   {readonly kind: 'wait'; readonly forMs: number} | Refusal;
 
 /**
- * A store that is well answers within this time of a process's start, in
- * milliseconds: 4 ms an answer, and up to a quarter of a second when it is slow.
+ * Time from a process's start within which a healthy store has responded. A response
+ * takes 4 ms, and up to 250 ms from a slow store.
  */
-const FIRST_ANSWER_MS = 300;
+const MAX_FIRST_RESPONSE_MS = 300;
 
-/** A request waits only if its endpoint is more likely to come than not. */
-const LEAST_CHANCE = 0.5;
+/** A request waits only if an endpoint is more likely to register than not. */
+const MIN_CHANCE = 0.5;
 
 /**
- * Decides on a request while no endpoint of its service is known.
+ * Decides whether a request waits while no endpoint of its service is known.
  *
- * Answers the pattern of a thundering return after an outage of everything:
- * calls that are refused in the second in which endpoints register again use
- * up their only retry. Each endpoint registers once a heartbeat, so that the
- * first comes at any moment of one heartbeat after the store's return. A caller
- * who stays for the better half of what is left of it is kept; others are told
- * to return after it. While the store is away, an outage is taken to last as
- * long again as it has lasted, and then a heartbeat more.
+ * Prevents a thundering herd after a complete outage: calls that are refused in the
+ * second in which endpoints register again use up their only retry. Each endpoint
+ * registers once per heartbeat, so the first registration comes at any time within one
+ * heartbeat after the store is reachable again. A request waits if its caller stays
+ * for at least half of the rest of that heartbeat; others are told to retry after it.
+ * While the store is unreachable, the outage is expected to last as long again as it
+ * has lasted, plus one heartbeat.
  */
 export function decideWithoutEndpoint(
   facts: ViewFacts,
-  patienceMs: number,
+  maxWaitMs: number,
   random: Random,
 ): ViewDecision {
   const {answersForMs, awayForMs, heartbeatMs} = facts;
   if (answersForMs === undefined) {
-    return refuseUntil(awayForMs + heartbeatMs, random);
+    return drawRetryAround(awayForMs + heartbeatMs, random);
   }
   const leftMs = heartbeatMs - answersForMs;
-  // Past the heartbeat nothing is on its way: the service has no endpoint.
-  if (leftMs <= 0) return refuseUntil(heartbeatMs, random);
-  if (patienceMs < leftMs * LEAST_CHANCE) return refuseUntil(leftMs, random);
-  return {kind: 'wait', forMs: Math.min(patienceMs, leftMs)};
+  // All endpoints would have registered by now: the service has none.
+  if (leftMs <= 0) return drawRetryAround(heartbeatMs, random);
+  if (maxWaitMs < leftMs * MIN_CHANCE) return drawRetryAround(leftMs, random);
+  return {kind: 'wait', forMs: Math.min(maxWaitMs, leftMs)};
 }
 
 /**
- * Decides on a request while no configuration is known: right after the start
- * it is on its way, and later the store or the way to it is gone.
+ * Decides whether a request waits while no configuration is known. Right after the
+ * process's start the configuration is still being loaded; later on, the store is
+ * unreachable.
  */
 export function decideWithoutConfig(
   facts: ViewFacts,
   random: Random,
 ): ViewDecision {
-  const leftMs = FIRST_ANSWER_MS - facts.awayForMs;
+  const leftMs = MAX_FIRST_RESPONSE_MS - facts.awayForMs;
   if (leftMs > 0) return {kind: 'wait', forMs: leftMs};
-  return refuseUntil(facts.awayForMs + facts.heartbeatMs, random);
+  return drawRetryAround(facts.awayForMs + facts.heartbeatMs, random);
 }
--- a/packages/policy/src/waitingOrder.ts
+++ b/packages/policy/src/waitingOrder.ts
@@ -1,22 +1,22 @@
-/** What decides the order in which waiting generations get room. */
+/** Decides the order in which waiting generations get room. */
 export interface WaitingPlace {
-  /** Rank of the organisation, 0 first; goes before the route's. */
+  /** Rank of the organisation, 0 first; takes precedence over the route's. */
   readonly organisationRank: number;
   readonly routeRank: number;
-  /** Until when its room must come for an answer in time. */
+  /** Latest time to get room at which the latency goal is still met. */
   readonly inTimeUntilMs: number;
-  /** When its caller gives up altogether. */
+  /** When its caller gives up. */
   readonly deadlineMs: number;
 }
 
 /**
- * Negative when `a` gets room before `b`: by rank, then those who can still be
- * served in time, then by the earlier deadline.
+ * Negative if `a` gets room before `b`. Orders by rank, then generations that can still
+ * meet their goal first, then by deadline.
  *
- * Answers the pattern of metastable overload: in order of arrival a queue that
- * is longer than the goal serves everybody late, also after the load has gone.
- * And callers who return after a refusal have an earlier deadline than
- * newcomers of their rank, so that they are not put behind them again.
+ * Prevents metastable overload: in order of arrival, a queue that is longer than the
+ * goal would serve all callers late, even after the load has fallen. Callers that retry
+ * after a refusal have an earlier deadline than newcomers of their rank, so they are
+ * not put behind them again.
  */
 export function compareWaiting(
   a: WaitingPlace,
--- a/packages/policy/src/watchPace.ts
+++ b/packages/policy/src/watchPace.ts
@@ -1,37 +1,36 @@
 import {GATHER_SHARE} from './leaveBound.js';
 
-/** How current a process's view of the endpoints is. */
+/** Completeness of a process's view of the endpoints. */
 export const ViewState = {
-  /** Registrations are as the store has them. */
+  /** The view matches the registrations in the store. */
   SETTLED: 'settled',
-  /** The store came back just now, and registrations come back one by one. */
-  UNSETTLED: 'unsettled',
-  /** A service of the configuration has no endpoint: its calls are refused. */
-  LACKING: 'lacking',
+  /** The store is reachable again, and endpoints register one by one. */
+  UNSETTLED: 'recovering',
+  /** A configured service has no endpoint, so its calls are refused. */
+  LACKING: 'incomplete',
 } as const;
 export type ViewState = (typeof ViewState)[keyof typeof ViewState];
 
 /**
- * The same while registrations return after an outage: a tenth of the pause
- * between two heartbeats of an endpoint, in which they all return.
+ * Longest batch delay while endpoints register again after an outage. All of them
+ * register within one heartbeat, of which this is a tenth.
  */
-const UNSETTLED_MS = 120;
+const MAX_RECOVERING_DELAY_MS = 120;
 
 /**
- * Pause after an answer of the watch for endpoints, in milliseconds, in which
- * more changes gather. Each answer is paid for, so a settled view can wait; a
- * view that is still filling cannot.
+ * Pause after a response of the endpoint watch, in which further changes are batched.
+ * Each response costs, so the pause is long while the view is settled.
  *
- * Answers the pattern of a slow recovery after an outage of everything at once:
- * the first endpoint that registers again must not hold back the knowledge of
- * all others for one settled pause, in which all calls would be refused.
+ * Prevents a slow recovery from a complete outage: with that pause also during the
+ * recovery, the first endpoint to register would delay the discovery of all others, and
+ * their calls would be refused meanwhile.
  */
 export function gatherMs(drainMs: number, view: ViewState): number {
   switch (view) {
     case ViewState.SETTLED:
       return drainMs * GATHER_SHARE;
     case ViewState.UNSETTLED:
-      return Math.min(UNSETTLED_MS, drainMs * GATHER_SHARE);
+      return Math.min(MAX_RECOVERING_DELAY_MS, drainMs * GATHER_SHARE);
     case ViewState.LACKING:
       return 0;
   }
