--- a/packages/relay/src/log/__tests__/boundedLog.test.ts
+++ b/packages/relay/src/log/__tests__/boundedLog.test.ts
@@ -16,7 +16,7 @@
     instance: 'edge-1',
     clock,
     output(bytes, done) {
-      // A reader that has stopped never lets the write end.
+      // A write to a pipe that is not read never completes.
       if (!isRead) return;
       written.push(...bytes.toString().trim().split('\n'));
       done(null);
@@ -24,7 +24,7 @@
   });
 });
 
-/** Lets the buffered lines be written. */
+/** Resolves after the buffered lines were written. */
 function flushed(): Promise<void> {
   return new Promise((resolve) => setImmediate(() => setImmediate(resolve)));
 }
@@ -33,8 +33,8 @@
   for (let index = 0; index < count; index++) log.info(event, {index});
 }
 
-describe('the bounded log', () => {
-  it('writes one JSON object a line, with the inputs', async () => {
+describe('createBoundedLog', () => {
+  it('writes one JSON object per line, with its fields', async () => {
     log.warn('call.notServed', {request: 'r1', sends: 2});
     await flushed();
     expect(JSON.parse(written[0]!)).toMatchObject({
@@ -46,7 +46,7 @@
     });
   });
 
-  it('bounds each event’s lines a second, and counts what it left out', async () => {
+  it('limits the lines of each event per second, and counts the dropped ones', async () => {
     flood('call.served', 10_000);
     log.info('other.event');
     await flushed();
@@ -59,13 +59,13 @@
     expect(JSON.parse(written.at(-1)!)).toMatchObject({leftOut: 9_980});
   });
 
-  it('lets more failures through than successes', async () => {
+  it('has a higher limit for warnings than for successes', async () => {
     for (let index = 0; index < 200; index++) log.warn('call.notServed');
     await flushed();
     expect(written).toHaveLength(100);
   });
 
-  it('neither waits nor grows when standard output is not read', async () => {
+  it('drops lines instead of buffering without limit when standard output is not read', async () => {
     isRead = false;
     log.info('first');
     await flushed();
--- a/packages/relay/src/log/boundedLog.ts
+++ b/packages/relay/src/log/boundedLog.ts
@@ -1,12 +1,15 @@
 import {write, writeSync} from 'node:fs';
 import type {Clock} from '@lilacledge/shared';
 
-/** Values that explain a line. */
+/** Structured fields of a log line. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Severity of a line; the lowest are left out first under load. */
+/**
+ * Severity of a line. Errors and warnings have a higher rate limit; debug lines are not
+ * written.
+ */
 export const LogLevel = {
   ERROR: 'error',
   WARN: 'warn',
@@ -15,47 +18,52 @@
 } as const;
 export type LogLevel = (typeof LogLevel)[keyof typeof LogLevel];
 
-/** Structured lines of one process: what was decided, from which inputs. */
+/** Writes structured log lines: an event name and the fields that explain it. */
 export interface DecisionLogger {
   error(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   info(event: string, fields?: LogFields): void;
   debug(event: string, fields?: LogFields): void;
-  /** Lines left out since the start, because of the rate or the buffer. */
+  /** Lines dropped since the start, by the rate limit, a full buffer or a failed write. */
   readonly droppedLines: number;
 }
 
-/** Lines of one event that are written in one second; the rest is counted. */
-const LINES_PER_EVENT_AND_S = 20;
+/**
+ * Maximum lines of one event in each rate window; further lines are dropped and
+ * counted.
+ */
+const MAX_LINES_PER_EVENT = 20;
 
-/** Failures explain more than successes, so they may be this much more. */
-const FAILURE_FACTOR = 5;
+/** Factor for the rate limit of errors and warnings, which explain more than successes. */
+const FAILURE_LINES_FACTOR = 5;
 
-/** Bytes that wait for a slow reader of standard output; then lines are dropped. */
+/**
+ * Maximum bytes buffered while standard output is read slowly; further lines are
+ * dropped.
+ */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Time over which an event's lines are counted. */
-const WINDOW_MS = 1_000;
+/** Length of the window to which the rate limit of each event applies. */
+const RATE_WINDOW_MS = 1_000;
 
-/** File descriptor. */
-const STANDARD_OUTPUT = 1;
+const STDOUT_FD = 1;
 
-/** A log whose lines can be written before the process ends. */
+/** A rate-limited logger that can be flushed before the process exits. */
 export interface BoundedLog extends DecisionLogger {
-  /** Writes what is buffered at once; waits for its reader. */
+  /** Writes the buffered lines synchronously, which blocks until they are read. */
   flush(): void;
 }
 
-export interface LogSettings {
+export interface BoundedLogOptions {
   readonly instance: string;
   readonly clock: Clock;
-  /** Replaced in tests. */
+  /** Writes asynchronously; defaults to standard output. */
   readonly output?: (
     bytes: Buffer,
     done: (error: Error | null) => void,
   ) => void;
-  /** The same for `flush`. */
-  readonly outputNow?: (bytes: Buffer) => void;
+  /** Writes synchronously, for `flush`; defaults to standard output. */
+  readonly outputSync?: (bytes: Buffer) => void;
 }
 
 interface EventWindow {
@@ -64,17 +72,24 @@
   dropped: number;
 }
 
-/** Writes to standard output without ever waiting for its reader. */
-export function createBoundedLog(settings: LogSettings): BoundedLog {
-  const {clock, instance} = settings;
-  const output = settings.output ?? writeStandardOutput;
-  const outputNow = settings.outputNow ?? writeStandardOutputNow;
+/**
+ * Creates a logger that writes to standard output without blocking on its reader. Lines
+ * of each event are limited in rate, and the buffer is limited in size.
+ */
+export function createBoundedLog(options: BoundedLogOptions): BoundedLog {
+  const {clock, instance} = options;
+  const output = options.output ?? writeStdout;
+  const outputSync = options.outputSync ?? writeStdoutSync;
   const windows = new Map<string, EventWindow>();
   let buffered: string[] = [];
   let bufferedBytes = 0;
   let isWriting = false;
   let droppedLines = 0;
 
+  /**
+   * Applies the limits to a line: undefined if it must be dropped, else the number of
+   * lines of the event that were dropped in its last window, once it is over.
+   */
   function admit(level: LogLevel, event: string): number | undefined {
     const nowMs = clock.nowMs();
     let window = windows.get(event);
@@ -82,70 +97,71 @@
       window = {startMs: nowMs, written: 0, dropped: 0};
       windows.set(event, window);
     }
-    let leftOut = 0;
-    if (nowMs - window.startMs >= WINDOW_MS) {
-      leftOut = window.dropped;
+    let droppedInLastWindow = 0;
+    if (nowMs - window.startMs >= RATE_WINDOW_MS) {
+      droppedInLastWindow = window.dropped;
       window.startMs = nowMs;
       window.written = 0;
       window.dropped = 0;
     }
     const isFailure = level === LogLevel.ERROR || level === LogLevel.WARN;
-    const most = LINES_PER_EVENT_AND_S * (isFailure ? FAILURE_FACTOR : 1);
-    if (window.written >= most || bufferedBytes > MAX_BUFFERED_BYTES) {
+    const maxLines =
+      MAX_LINES_PER_EVENT * (isFailure ? FAILURE_LINES_FACTOR : 1);
+    if (window.written >= maxLines || bufferedBytes > MAX_BUFFERED_BYTES) {
       window.dropped++;
       droppedLines++;
       return undefined;
     }
     window.written++;
-    return leftOut;
+    return droppedInLastWindow;
   }
 
-  function add(level: LogLevel, event: string, fields?: LogFields): void {
-    const leftOut = admit(level, event);
-    if (leftOut === undefined) return;
+  function append(level: LogLevel, event: string, fields?: LogFields): void {
+    const droppedInLastWindow = admit(level, event);
+    if (droppedInLastWindow === undefined) return;
     const line = JSON.stringify({
       timeMs: clock.wallMs(),
       level,
       instance,
       event,
       ...fields,
-      leftOut: leftOut > 0 ? leftOut : undefined,
+      leftOut: droppedInLastWindow > 0 ? droppedInLastWindow : undefined,
     });
     buffered.push(line);
     bufferedBytes += line.length + 1;
-    if (!isWriting) setImmediate(writeNext);
+    if (!isWriting) setImmediate(writeBuffered);
     isWriting = true;
   }
 
-  function takeBuffered(): Buffer {
+  function drainBuffer(): Buffer {
     const text = `${buffered.join('\n')}\n`;
     buffered = [];
     return Buffer.from(text);
   }
 
   function flush(): void {
-    if (buffered.length > 0) outputNow(takeBuffered());
+    if (buffered.length > 0) outputSync(drainBuffer());
     bufferedBytes = 0;
   }
 
-  function writeNext(): void {
+  function writeBuffered(): void {
     if (buffered.length === 0) {
       isWriting = false;
       return;
     }
-    const size = bufferedBytes;
-    output(takeBuffered(), (error) => {
-      bufferedBytes -= size;
-      // Nobody reads standard output: the lines are lost, and counted.
+    const writtenBytes = bufferedBytes;
+    output(drainBuffer(), (error) => {
+      bufferedBytes -= writtenBytes;
+      // Standard output has no reader: the lines are lost. Counted as one drop.
       if (error !== null) droppedLines++;
-      writeNext();
+      writeBuffered();
     });
   }
 
   return {
-    error: (event, fields) => add(LogLevel.ERROR, event, fields),
-    warn: (event, fields) => add(LogLevel.WARN, event, fields),
-    info: (event, fields) => add(LogLevel.INFO, event, fields),
+    error: (event, fields) => append(LogLevel.ERROR, event, fields),
+    warn: (event, fields) => append(LogLevel.WARN, event, fields),
+    info: (event, fields) => append(LogLevel.INFO, event, fields),
     debug: () => {},
     flush,
     get droppedLines() {
@@ -154,7 +170,7 @@
   };
 }
 
-/** Logs nothing. */
+/** A logger that discards all lines. */
 export const silentLog: DecisionLogger = {
   error: () => {},
   warn: () => {},
@@ -163,22 +179,19 @@
   droppedLines: 0,
 };
 
-function writeStandardOutputNow(bytes: Buffer): void {
+function writeStdoutSync(bytes: Buffer): void {
   try {
-    writeSync(STANDARD_OUTPUT, bytes);
+    writeSync(STDOUT_FD, bytes);
   } catch {
-    // Nobody reads standard output, and there is no other place for the lines.
+    // Standard output has no reader, and the lines have no other destination.
   }
 }
 
-/** Asynchronous, so that a full pipe holds up no request. */
-function writeStandardOutput(
-  bytes: Buffer,
-  done: (error: Error | null) => void,
-): void {
-  write(STANDARD_OUTPUT, bytes, 0, bytes.length, null, (error, written) => {
+/** Writes asynchronously, so that a full pipe does not block requests. */
+function writeStdout(bytes: Buffer, done: (error: Error | null) => void): void {
+  write(STDOUT_FD, bytes, 0, bytes.length, null, (error, written) => {
     if (error === null && written < bytes.length) {
-      writeStandardOutput(bytes.subarray(written), done);
+      writeStdout(bytes.subarray(written), done);
       return;
     }
     done(error);
