--- a/packages/relay/src/config/__tests__/configFollower.test.ts
+++ b/packages/relay/src/config/__tests__/configFollower.test.ts
@@ -11,39 +11,39 @@
 
 const KEY = 'settings/all';
 const WAIT_MS = 1_800;
-const ANSWER_MS = 4;
+const REPLY_DELAY_MS = 4;
 
 let clock: VirtualClock;
 let stopped: AbortController;
 let calls: string[];
-let taken: number[];
-let failures: number;
+let delivered: number[];
+let failureCount: number;
 let newest: StoreItem;
-/** What the next watches bring; one that has nothing waits. */
+/** Replies to the next watches; once empty, a watch waits until it is aborted. */
 let watches: Array<StoreReply<StoreChanges>>;
-let follower: ConfigFollower;
+let watcher: ConfigFollower;
 
 beforeEach(() => {
   clock = new VirtualClock();
   stopped = new AbortController();
   calls = [];
-  taken = [];
-  failures = 0;
+  delivered = [];
+  failureCount = 0;
   newest = item(1);
   watches = [];
-  follower = new ConfigFollower({
+  watcher = new ConfigFollower({
     key: KEY,
-    store: scriptedPort(),
+    store: scriptedStore(),
     clock,
     random: () => 0.5,
     log: silentLog,
     waitMs: () => WAIT_MS,
     applyBoundMs: () => 2_000,
-    written: (value) => taken.push(Number(value.toString())),
+    written: (value) => delivered.push(Number(value.toString())),
     deleted: () => {},
-    failed: () => failures++,
+    failed: () => failureCount++,
   });
-  void follower.run(stopped.signal);
+  void watcher.run(stopped.signal);
 });
 
 afterEach(() => stopped.abort());
@@ -62,14 +62,14 @@
   return {kind: 'ok', value: {changes, revision, transfer}};
 }
 
-function scriptedPort(): MetadataStore {
+function scriptedStore(): MetadataStore {
   return {
     list: () => {
       calls.push('list');
       const {revision} = newest;
       const transfer = {bytes: 0, tookMs: 0};
       const value = {items: [newest], hasMore: false, revision, transfer};
-      return after(ANSWER_MS, {kind: 'ok', value});
+      return after(REPLY_DELAY_MS, {kind: 'ok', value});
     },
     watch: (
       _prefix: string,
@@ -79,7 +79,7 @@
     ) => {
       calls.push(`watch ${revision}`);
       const next = watches.shift();
-      if (next !== undefined) return after(ANSWER_MS, next);
+      if (next !== undefined) return after(REPLY_DELAY_MS, next);
       return new Promise((resolve) => {
         signal.addEventListener('abort', () => {
           resolve({kind: 'unanswered', detail: 'aborted'});
@@ -93,72 +93,72 @@
   return new Promise((resolve) => clock.after(delayMs, () => resolve(reply)));
 }
 
-describe('ConfigFollower', () => {
-  it('follows small versions with watches alone', async () => {
+describe('ConfigWatcher', () => {
+  it('receives small versions with watches only', async () => {
     watches = [changed(2, item(2)), changed(2, item(3))];
     await clock.advance(100);
-    expect(taken).toEqual([1, 2, 3]);
+    expect(delivered).toEqual([1, 2, 3]);
     expect(calls).toEqual(['list', 'watch 1', 'watch 2', 'watch 3']);
   });
 
-  it('takes the last of several versions only', async () => {
+  it('delivers only the last of several versions in one response', async () => {
     watches = [changed(2, item(2), item(3), item(4))];
     await clock.advance(100);
-    expect(taken).toEqual([1, 4]);
+    expect(delivered).toEqual([1, 4]);
   });
 
-  it('takes no other key that begins like its own', async () => {
+  it('ignores other keys that start with its own key', async () => {
     watches = [changed(2, item(2, `${KEY}-old`))];
     await clock.advance(100);
-    expect(taken).toEqual([1]);
+    expect(delivered).toEqual([1]);
   });
 
-  it('reads the newest alone after one that was long on its way', async () => {
+  it('reads only the newest version after a response that was slow to arrive', async () => {
     watches = [changed(300, item(2))];
     newest = item(5);
     await clock.advance(600);
     expect(calls.slice(-2)).toEqual(['list', 'watch 5']);
-    expect(taken.at(-1)).toBe(5);
+    expect(delivered.at(-1)).toBe(5);
   });
 
-  it('reads it again when the history is gone', async () => {
+  it('reads the configuration again when the history was compacted', async () => {
     watches = [{kind: 'compacted'}];
     await clock.advance(200);
     expect(calls).toEqual(['list', 'watch 1', 'list', 'watch 1']);
-    expect(failures).toBe(0);
+    expect(failureCount).toBe(0);
   });
 
-  it('tells that a call failed, and asks again', async () => {
+  it('reports a failed call and retries', async () => {
     watches = [{kind: 'refused', status: 503}];
     await clock.advance(200);
-    expect(failures).toBe(1);
+    expect(failureCount).toBe(1);
     expect(calls).toEqual(['list', 'watch 1', 'watch 1']);
   });
 
-  it('reads anew when a peer had what its own watch did not bring', async () => {
+  it('restarts the watch when a peer had a version that it did not return', async () => {
     await clock.advance(100);
     watches = [changed(2, item(2))];
-    follower.noteOvertaken();
+    watcher.noteOvertaken();
     await clock.advance(1_000);
     expect(calls).toEqual(['list', 'watch 1', 'watch 1', 'watch 2']);
-    expect(failures).toBe(0);
+    expect(failureCount).toBe(0);
   });
 
-  it('leaves an answer alone that comes after the peer’s', async () => {
-    follower.noteOvertaken();
+  it('does not abort a call that ends soon after the peer’s message', async () => {
+    watcher.noteOvertaken();
     await clock.advance(2_000);
     expect(calls).toEqual(['list', 'watch 1']);
   });
 
-  it('makes no call while it is held, and goes on after', async () => {
+  it('makes no call while it is paused, and continues after that', async () => {
     await clock.advance(100);
-    follower.hold();
+    watcher.hold();
     await clock.advance(10_000);
     expect(calls).toEqual(['list', 'watch 1']);
     watches = [changed(2, item(2))];
-    follower.release();
+    watcher.release();
     await clock.advance(100);
-    expect(taken).toEqual([1, 2]);
-    expect(failures).toBe(0);
+    expect(delivered).toEqual([1, 2]);
+    expect(failureCount).toBe(0);
   });
 });
--- a/packages/relay/src/config/__tests__/routeTable.test.ts
+++ b/packages/relay/src/config/__tests__/routeTable.test.ts
@@ -39,28 +39,28 @@
 }
 
 describe('RouteTable', () => {
-  it('takes the longest prefix, whatever the order', () => {
+  it('prefers the longest matching prefix, in any order of routes', () => {
     const routes = table(route('short', '/a/'), route('long', '/a/b/'));
     expect(routes.findRoute('a.example', '/a/b/c')?.name).toBe('long');
     expect(routes.findRoute('a.example', '/a/x')?.name).toBe('short');
   });
 
-  it('finds nothing beside a prefix or at another host', () => {
+  it('finds no route for another path or host', () => {
     const routes = table(route('short', '/a/'));
     expect(routes.findRoute('a.example', '/ab')).toBeUndefined();
     expect(routes.findRoute('b.example', '/a/')).toBeUndefined();
   });
 
-  describe('a split', () => {
+  describe('a route with weighted targets', () => {
     const split = route('split', '/a/', [90, 10]);
     const routes = table(split);
 
-    it('is stable for one request', () => {
+    it('always chooses the same service for one request id', () => {
       const first = routes.chooseService(split, 'r1');
       expect(routes.chooseService(split, 'r1')).toBe(first);
     });
 
-    it('follows the weights', () => {
+    it('chooses services in proportion to their weights', () => {
       let second = 0;
       for (let index = 0; index < 5_000; index++) {
         if (routes.chooseService(split, `r${index}`) === 's1') second++;
@@ -69,7 +69,7 @@
       expect(second).toBeLessThan(600);
     });
 
-    it('gives nothing to a weight of zero', () => {
+    it('never chooses a service with weight zero', () => {
       const drained = route('drained', '/a/', [0, 1]);
       for (let index = 0; index < 200; index++) {
         expect(routes.chooseService(drained, `r${index}`)).toBe('s1');
--- a/packages/relay/src/config/__tests__/storeMirror.test.ts
+++ b/packages/relay/src/config/__tests__/storeMirror.test.ts
@@ -11,9 +11,10 @@
 import {StoreMirror} from '../storeMirror.js';
 import type {MirrorSection} from '../storeMirror.js';
 
+/** Time after which the client gives up an unanswered call. */
 const READ_TIMEOUT_MS = 1_500;
 
-const AT_ONCE = {bytes: 0, tookMs: 0};
+const NO_TRANSFER = {bytes: 0, tookMs: 0};
 
 let clock: VirtualClock;
 
@@ -21,21 +22,21 @@
   clock = new VirtualClock();
 });
 
-/** A store whose calls before `returnsAtMs` are never answered. */
-function silentUntil(returnsAtMs: number): MetadataStore {
+/** A store that does not answer calls made before `availableAtMs`. */
+function unresponsiveUntil(availableAtMs: number): MetadataStore {
   const page: StorePage = {
     items: [],
     hasMore: false,
     revision: 7,
-    transfer: AT_ONCE,
+    transfer: NO_TRANSFER,
   };
   return {
     list(): Promise<StoreReply<StorePage>> {
-      const isSilent = clock.nowMs() < returnsAtMs;
+      const isUnresponsive = clock.nowMs() < availableAtMs;
       return new Promise((resolve) => {
-        clock.after(isSilent ? READ_TIMEOUT_MS : 4, () => {
+        clock.after(isUnresponsive ? READ_TIMEOUT_MS : 4, () => {
           resolve(
-            isSilent
+            isUnresponsive
               ? {kind: 'unanswered', detail: 'no answer'}
               : {kind: 'ok', value: page},
           );
@@ -46,12 +47,12 @@
   } as Partial<MetadataStore> as MetadataStore;
 }
 
-describe('a mirror that starts while the store is silent', () => {
-  it('is in step soon after the return, not after a timeout', async () => {
+describe('a watcher that starts while the store is unresponsive', () => {
+  it('is in sync soon after the store recovers, without waiting for a timeout', async () => {
     let isSynced = false;
-    const mirror = new StoreMirror({
+    const watcher = new StoreMirror({
       sections: [{prefix: 'servers/', written: () => {}, deleted: () => {}}],
-      store: silentUntil(230),
+      store: unresponsiveUntil(230),
       listener: {
         returned: () => {
           isSynced = true;
@@ -64,36 +65,36 @@
       pace: {waitMs: 25_000, gatherMs: 600},
     });
     const stopped = new AbortController();
-    void mirror.run(stopped.signal);
+    void watcher.run(stopped.signal);
     await clock.advanceUntil(() => isSynced);
     expect(clock.nowMs()).toBeLessThan(320);
     stopped.abort();
   });
 });
 
-describe('a mirror of several prefixes', () => {
-  const GATHER_MS = 600;
-  let told: string[];
-  let watched: string[];
+describe('a watcher of several prefixes', () => {
+  const BATCH_DELAY_MS = 600;
+  let events: string[];
+  let watchedPrefixes: string[];
   let revision: number;
-  let answers: Array<StoreReply<StoreChanges>>;
+  let replies: Array<StoreReply<StoreChanges>>;
   let stopped: AbortController;
 
   beforeEach(() => {
-    told = [];
-    watched = [];
+    events = [];
+    watchedPrefixes = [];
     revision = 1;
-    answers = [];
+    replies = [];
     stopped = new AbortController();
   });
 
   afterEach(() => stopped.abort());
 
-  function section(prefix: string): MirrorSection {
+  function handler(prefix: string): MirrorSection {
     return {
       prefix,
-      written: ({key}) => told.push(`${prefix} has ${key}`),
-      deleted: (key) => told.push(`${prefix} lacks ${key}`),
+      written: ({key}) => events.push(`${prefix} has ${key}`),
+      deleted: (key) => events.push(`${prefix} lacks ${key}`),
     };
   }
 
@@ -112,13 +113,18 @@
     });
   }
 
-  /** A store that answers each watch with what `answers` has next. */
-  function scriptedPort(): MetadataStore {
+  /** A store that answers each watch with the next of `replies`, and waits once empty. */
+  function scriptedStore(): MetadataStore {
     return {
       list: () =>
         Promise.resolve({
           kind: 'ok',
-          value: {items: [], hasMore: false, revision: 1, transfer: AT_ONCE},
+          value: {
+            items: [],
+            hasMore: false,
+            revision: 1,
+            transfer: NO_TRANSFER,
+          },
         }),
       watch: (
         prefix: string,
@@ -126,8 +132,8 @@
         _waitMs: number,
         signal: AbortSignal,
       ) => {
-        watched.push(prefix);
-        const next = answers.shift();
+        watchedPrefixes.push(prefix);
+        const next = replies.shift();
         if (next === undefined) return untilAborted(signal);
         return new Promise((resolve) => {
           clock.after(4, () => resolve(next));
@@ -137,67 +143,67 @@
   }
 
   function start(...prefixes: string[]): StoreMirror {
-    const mirror = new StoreMirror({
-      sections: prefixes.map(section),
-      store: scriptedPort(),
+    const watcher = new StoreMirror({
+      sections: prefixes.map(handler),
+      store: scriptedStore(),
       listener: {
-        returned: () => told.push('returned'),
-        lost: () => told.push('lost'),
+        returned: () => events.push('returned'),
+        lost: () => events.push('lost'),
       },
       clock,
       random: () => 0.5,
       log: silentLog,
-      pace: {waitMs: 2_000, gatherMs: GATHER_MS},
+      pace: {waitMs: 2_000, gatherMs: BATCH_DELAY_MS},
     });
-    void mirror.run(stopped.signal);
-    return mirror;
+    void watcher.run(stopped.signal);
+    return watcher;
   }
 
   function changes(...keys: string[]): StoreReply<StoreChanges> {
     return {
       kind: 'ok',
-      value: {changes: keys.map(change), revision, transfer: AT_ONCE},
+      value: {changes: keys.map(change), revision, transfer: NO_TRANSFER},
     };
   }
 
-  it('tells each section of its own keys, and nobody of others', async () => {
-    answers = [changes('b/1', 'x/1', 'a/1')];
+  it('passes changes to the handler of their prefix, and ignores other keys', async () => {
+    replies = [changes('b/1', 'x/1', 'a/1')];
     start('a/', 'b/');
     await clock.advance(100);
-    expect(told).toEqual(['returned', 'b/ has b/1', 'a/ has a/1']);
+    expect(events).toEqual(['returned', 'b/ has b/1', 'a/ has a/1']);
   });
 
-  it('has one watch open, for what the prefixes have in common', async () => {
+  it('opens one watch, for the common prefix', async () => {
     start('fleet/a/', 'fleet/b/');
     await clock.advance(100);
-    expect(watched).toEqual(['fleet/']);
+    expect(watchedPrefixes).toEqual(['fleet/']);
   });
 
-  it('makes one call a pause, whatever changes', async () => {
-    answers = Array.from({length: 10}, () => changes('a/1', 'b/1', 'c/1'));
+  it('makes one call per batch delay, however many changes there are', async () => {
+    replies = Array.from({length: 10}, () => changes('a/1', 'b/1', 'c/1'));
     start('a/', 'b/', 'c/');
-    await clock.advance(GATHER_MS * 5);
-    expect(watched.length).toBeLessThanOrEqual(6);
+    await clock.advance(BATCH_DELAY_MS * 5);
+    expect(watchedPrefixes.length).toBeLessThanOrEqual(6);
   });
 
-  it('tells of the return before it tells what changed meanwhile', async () => {
-    answers = [
+  it('reports the recovery before the changes made meanwhile', async () => {
+    replies = [
       {kind: 'refused', status: 503},
       {kind: 'refused', status: 503},
       changes('a/1'),
     ];
     start('a/', 'b/');
     await clock.advance(1_000);
-    expect(told).toEqual(['returned', 'lost', 'returned', 'a/ has a/1']);
+    expect(events).toEqual(['returned', 'lost', 'returned', 'a/ has a/1']);
   });
 
-  it('asks at once when told that another call failed', async () => {
-    const mirror = start('a/', 'b/');
+  it('calls the store at once when probed', async () => {
+    const watcher = start('a/', 'b/');
     await clock.advance(100);
-    expect(watched).toHaveLength(1);
-    mirror.probe();
+    expect(watchedPrefixes).toHaveLength(1);
+    watcher.probe();
     await clock.advance(10);
-    expect(watched).toHaveLength(2);
-    expect(told).toEqual(['returned']);
+    expect(watchedPrefixes).toHaveLength(2);
+    expect(events).toEqual(['returned']);
   });
 });
--- a/packages/relay/src/config/configFollower.ts
+++ b/packages/relay/src/config/configFollower.ts
@@ -11,33 +11,32 @@
 } from '../ports.js';
 import {Gate} from './gate.js';
 import type {MirrorSection} from './storeMirror.js';
-import {describeFailure, listBelow, logSlowAnswer} from './storeReads.js';
+import {describeFailure, listAllPages, logSlowResponse} from './storeReads.js';
 
-/** Pause after a call that failed: short, as a bound runs from the return. */
+/** Backoff after a failed call. Short, since deadlines run from the store's recovery. */
 const RETRY_BACKOFF = {firstMs: 60, maxMs: 800};
 
-/** A large version is whole by then, on half of a link of 10 Mbit/s. */
-const ON_ITS_WAY_MS = 700;
+/** Time by which a large version has arrived completely over half of a 10 Mbit/s link. */
+const STALLED_CALL_TIMEOUT_MS = 700;
 
-/** What a follower is made from. */
 export interface ConfigFollowing {
   readonly key: string;
   readonly store: MetadataStore;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: DecisionLogger;
-  /** How long one watch waits; a dead connection is noticed soon after. */
+  /** How long one watch waits; a dead connection is detected soon after. */
   waitMs(): number;
-  /** Longest time until a new version is in force. */
+  /** Maximum time until a new version must be active. */
   applyBoundMs(): number;
-  /** The store holds a version that was not known. */
+  /** Called with the value of each new version. */
   written(value: Buffer): void;
   deleted(): void;
-  /** A call failed: the store may be away. */
+  /** A call failed: the store may be unavailable. */
   failed(): void;
   /**
-   * What else is followed with the same calls; `commonPrefix` begins its keys and that
-   * of the configuration, and no others.
+   * Another prefix that is watched with the same calls. Only its keys and that of the
+   * configuration start with `commonPrefix`.
    */
   readonly beside?: {
     readonly commonPrefix: string;
@@ -45,33 +44,33 @@
   };
 }
 
-/** What one call brought. */
-type FollowStep =
+/** Outcome of one call. */
+type WatcherStep =
   | ({readonly kind: 'answered'} & BulkAnswer)
   | {readonly kind: 'failed'; readonly failure: StoreFailure};
 
 /**
- * Follows the one item that holds the configuration, with calls of its own. It may
- * have a megabyte, and what else the store tells is bound in time: in one answer with
- * it, registrations came seconds late on a small link. What stands beside it here may
- * be as late as a configuration may be, and saves a watch: 0.42 calls a second and entry.
+ * Watches the item that holds the configuration, apart from other watches. It may be as
+ * large as a megabyte, and other changes have deadlines: in one response with it,
+ * registrations arrived seconds late on a slow link. The prefix of `sharedWatch` may be as
+ * late as a configuration, and sharing saves a watch: 0.42 calls per second and entry.
  */
 export class ConfigFollower {
-  /** Where the next watch goes on. */
+  /** Revision after which the next watch starts. */
   private revision = 0;
-  /** Of the version that was told of last. */
-  private takenRevision = 0;
+  /** Revision of the version that was delivered last. */
+  private deliveredRevision = 0;
   private callCount = 0;
   private readonly gate = new Gate();
-  /** All that the store had at this time is known; at first nothing is. */
-  private clearMs = Number.NEGATIVE_INFINITY;
+  /** All changes that the store had at this time are known; initially none. */
+  private asOfMs = Number.NEGATIVE_INFINITY;
   private readonly prefix: string;
 
-  constructor(private readonly following: ConfigFollowing) {
-    this.prefix = following.beside?.commonPrefix ?? following.key;
+  constructor(private readonly options: ConfigFollowing) {
+    this.prefix = options.beside?.commonPrefix ?? options.key;
   }
 
-  /** The store is away: no call is made until `release`. */
+  /** Aborts the call in flight and makes none until `resume`: the store is unavailable. */
   hold(): void {
     this.gate.close();
   }
@@ -81,12 +80,12 @@
   }
 
   /**
-   * A peer had a version that the open call has not brought: unless an answer is on its
-   * way and comes soon, the call is dead.
+   * A peer had a version that the call in flight has not returned. Unless the call ends
+   * soon, its connection is considered dead and it is made again.
    */
   noteOvertaken(): void {
     const {callCount} = this;
-    this.following.clock.after(ON_ITS_WAY_MS, () => {
+    this.options.clock.after(STALLED_CALL_TIMEOUT_MS, () => {
       if (this.callCount !== callCount || this.gate.isClosed) return;
       this.gate.close();
       this.gate.open();
@@ -95,29 +94,29 @@
 
   /** Runs until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    const {clock, random, applyBoundMs} = this.following;
+    const {clock, random, applyBoundMs} = this.options;
     signal.addEventListener('abort', () => this.gate.close());
     let next: NextRead = {kind: 'newest', pauseMs: 0};
     let failures = 0;
     while (!signal.aborted) {
-      await this.gate.passed();
-      const passed = this.gate.signal;
+      await this.gate.whenOpen();
+      const callSignal = this.gate.signal;
       const sentMs = clock.nowMs();
       this.callCount++;
-      const step = await this.read(next, passed);
+      const step = await this.read(next, callSignal);
       if (step.kind === 'answered') {
         failures = 0;
         next = readAfter(step, applyBoundMs());
         continue;
       }
-      // A call that was ended from here says nothing of the store.
-      if (passed.aborted) continue;
+      // A call that was aborted locally says nothing about the store.
+      if (callSignal.aborted) continue;
       next = this.readAfterFailure(step.failure, clock.nowMs() - sentMs, next);
       await sleep(clock, backoffMs(RETRY_BACKOFF, failures++, random), signal);
     }
   }
 
-  private read(next: NextRead, signal: AbortSignal): Promise<FollowStep> {
+  private read(next: NextRead, signal: AbortSignal): Promise<WatcherStep> {
     switch (next.kind) {
       case 'watch':
         return this.watch(signal);
@@ -133,36 +132,36 @@
     tookMs: number,
     last: NextRead,
   ): NextRead {
-    const {log, failed, waitMs} = this.following;
+    const {log, failed, waitMs} = this.options;
     log.info('config.unread', {
       cause: describeFailure(failure),
       tookMs: Math.round(tookMs),
     });
     if (failure.kind !== 'compacted') failed();
-    // A watch that was due had more to bring than came: the newest is less.
-    const wasDue = failure.kind === 'compacted' || tookMs > waitMs();
-    return wasDue ? {kind: 'newest', pauseMs: 0} : last;
+    // An overdue watch had a response that did not finish: the newest version is smaller.
+    const wasOverdue = failure.kind === 'compacted' || tookMs > waitMs();
+    return wasOverdue ? {kind: 'newest', pauseMs: 0} : last;
   }
 
-  private async watch(signal: AbortSignal): Promise<FollowStep> {
-    const {store, clock, log, key, waitMs} = this.following;
+  private async watch(signal: AbortSignal): Promise<WatcherStep> {
+    const {store, clock, log, key, waitMs} = this.options;
     const sentMs = clock.nowMs();
-    const waitedMs = waitMs();
+    const maxWaitMs = waitMs();
     const {prefix} = this;
-    const reply = await store.watch(prefix, this.revision, waitedMs, signal);
+    const reply = await store.watch(prefix, this.revision, maxWaitMs, signal);
     if (reply.kind !== 'ok') return {kind: 'failed', failure: reply};
     const {changes, revision, transfer} = reply.value;
-    logSlowAnswer(log, 'watch', changes.length, transfer);
-    this.tellBeside(changes, revision, sentMs);
+    logSlowResponse(log, 'watch', changes.length, transfer);
+    this.deliverSharedChanges(changes, revision, sentMs);
     const own = changes.filter((change) => keyOf(change) === key);
     const newest = own.at(-1);
-    if (newest?.kind === 'written') this.take(newest.item);
-    if (newest?.kind === 'deleted') this.following.deleted();
+    if (newest?.kind === 'written') this.deliver(newest.item);
+    if (newest?.kind === 'deleted') this.options.deleted();
     this.revision = Math.max(this.revision, revision);
-    // A watch without a change was open all the while that it waited.
+    // A watch that ended without changes saw all changes until its end.
     const hasWaited =
-      changes.length === 0 && clock.nowMs() >= sentMs + waitedMs;
-    this.clearMs = sentMs + (hasWaited ? waitedMs : 0);
+      changes.length === 0 && clock.nowMs() >= sentMs + maxWaitMs;
+    this.asOfMs = sentMs + (hasWaited ? maxWaitMs : 0);
     return {
       kind: 'answered',
       tookMs: transfer.tookMs,
@@ -173,48 +172,51 @@
   private async readNewest(
     pauseMs: number,
     signal: AbortSignal,
-  ): Promise<FollowStep> {
-    const {store, clock, log, key} = this.following;
+  ): Promise<WatcherStep> {
+    const {store, clock, log, key} = this.options;
     await sleep(clock, pauseMs, signal);
     const sentMs = clock.nowMs();
-    const reply = await listBelow(store, clock, log, this.prefix);
+    const reply = await listAllPages(store, clock, log, this.prefix);
     if (reply.kind !== 'ok') return {kind: 'failed', failure: reply};
     const {items, revision, transfer} = reply.value;
-    this.tellListed(items, revision);
-    this.clearMs = sentMs;
+    this.deliverSharedItems(items, revision);
+    this.asOfMs = sentMs;
     const item = items.find((listed) => listed.key === key);
-    const isNew = item !== undefined && item.revision > this.takenRevision;
-    if (isNew) this.take(item);
+    const isNew = item !== undefined && item.revision > this.deliveredRevision;
+    if (isNew) this.deliver(item);
     this.revision = Math.max(this.revision, revision);
     return {kind: 'answered', tookMs: transfer.tookMs, isNew};
   }
 
-  private tellBeside(
+  private deliverSharedChanges(
     changes: readonly StoreChange[],
     revision: number,
     sentMs: number,
   ): void {
-    const section = this.following.beside?.section;
-    if (section === undefined) return;
+    const handler = this.options.beside?.section;
+    if (handler === undefined) return;
     for (const change of changes) {
-      if (!keyOf(change).startsWith(section.prefix)) continue;
-      if (change.kind === 'written') section.written(change.item, this.clearMs);
-      else section.deleted(change.key, this.clearMs, change.revision);
+      if (!keyOf(change).startsWith(handler.prefix)) continue;
+      if (change.kind === 'written') handler.written(change.item, this.asOfMs);
+      else handler.deleted(change.key, this.asOfMs, change.revision);
     }
-    section.caughtUp?.(revision, sentMs);
+    handler.caughtUp?.(revision, sentMs);
   }
 
-  private tellListed(items: readonly StoreItem[], revision: number): void {
-    const section = this.following.beside?.section;
-    if (section === undefined) return;
-    const below = items.filter(({key}) => key.startsWith(section.prefix));
-    for (const item of below) section.written(item, this.clearMs);
-    section.listed?.(new Set(below.map(({key}) => key)), revision);
+  private deliverSharedItems(
+    items: readonly StoreItem[],
+    revision: number,
+  ): void {
+    const handler = this.options.beside?.section;
+    if (handler === undefined) return;
+    const below = items.filter(({key}) => key.startsWith(handler.prefix));
+    for (const item of below) handler.written(item, this.asOfMs);
+    handler.listed?.(new Set(below.map(({key}) => key)), revision);
   }
 
-  private take({value, revision}: StoreItem): void {
-    this.takenRevision = revision;
-    this.following.written(value);
+  private deliver({value, revision}: StoreItem): void {
+    this.deliveredRevision = revision;
+    this.options.written(value);
   }
 }
 
--- a/packages/relay/src/config/configKeeper.ts
+++ b/packages/relay/src/config/configKeeper.ts
@@ -3,18 +3,20 @@
 import type {WireCodec} from '../ports.js';
 import {RouteTable} from './routeTable.js';
 
-/** Hears of each version that comes into force. */
+/** Called with each version that becomes active. */
 export type ConfigListener = (table: RouteTable, source: ConfigSource) => void;
 
-/** Where a version of the configuration was learned. */
+/** Where a version of the configuration came from. */
 export const ConfigSource = {STORE: 'store', PEER: 'peer'} as const;
 export type ConfigSource = (typeof ConfigSource)[keyof typeof ConfigSource];
 
-/** The configuration in force; its version only rises in one process. */
+/** Holds the active configuration, whose version only increases within one process. */
 export class ConfigKeeper {
-  private table: RouteTable | undefined;
+  private activeTable: RouteTable | undefined;
+  /** The active version in the store's encoding. */
   private bytes: Buffer | undefined;
   private readonly listeners: ConfigListener[] = [];
+  /** Listeners to be called once, for the next version. */
   private readonly waiting = new Set<() => void>();
 
   constructor(
@@ -23,17 +25,17 @@
     private readonly log: DecisionLogger,
   ) {}
 
-  /** Look-ups in the version in force; undefined while none is known. */
+  /** Lookups in the active version; undefined until one is known. */
   get current(): RouteTable | undefined {
-    return this.table;
+    return this.activeTable;
   }
 
   get version(): number {
-    return this.table?.config.version ?? 0;
+    return this.activeTable?.config.version ?? 0;
   }
 
-  /** The version in force as the store holds it, to hand to a peer. */
-  get encoded(): Buffer | undefined {
+  /** The active version in the store's encoding, to send to peers. */
+  get encodedConfig(): Buffer | undefined {
     return this.bytes;
   }
 
@@ -41,17 +43,20 @@
     this.listeners.push(listener);
   }
 
-  /** Calls `listener` when a version comes into force; once at most. */
+  /**
+   * Calls `listener` once, when the next version becomes active. Returns a function that
+   * removes the listener.
+   */
   onceKnown(listener: () => void): () => void {
-    const own = (): void => {
-      this.waiting.delete(own);
+    const runOnce = (): void => {
+      this.waiting.delete(runOnce);
       listener();
     };
-    this.waiting.add(own);
-    return () => this.waiting.delete(own);
+    this.waiting.add(runOnce);
+    return () => this.waiting.delete(runOnce);
   }
 
-  /** Takes a version that is newer than the one in force. */
+  /** Activates an encoded version if it is valid and newer; returns whether it was. */
   adopt(bytes: Buffer, source: ConfigSource): boolean {
     const startMs = this.clock.nowMs();
     const decoded = this.codec.decodeConfig(bytes);
@@ -62,7 +67,7 @@
     const {version} = decoded.value;
     if (version <= this.version) return false;
     const before = this.version;
-    this.table = new RouteTable(decoded.value);
+    this.activeTable = new RouteTable(decoded.value);
     this.bytes = bytes;
     this.log.info('config.inForce', {
       version,
@@ -71,7 +76,7 @@
       routes: decoded.value.routes.length,
       tookMs: Math.round(this.clock.nowMs() - startMs),
     });
-    for (const listener of this.listeners) listener(this.table, source);
+    for (const listener of this.listeners) listener(this.activeTable, source);
     for (const listener of this.waiting) listener();
     return true;
   }
--- a/packages/relay/src/config/countedStore.ts
+++ b/packages/relay/src/config/countedStore.ts
@@ -2,12 +2,15 @@
 import type {MetadataStore, StoreReply} from '../ports.js';
 import type {RelayMetrics} from '../relayMetrics.js';
 
-/** The same store, with its calls counted by what became of them, and its reads measured. */
+/**
+ * Wraps a store to record metrics: the calls by kind of reply, and the size and transfer
+ * time of reads.
+ */
 export function countCalls(
   store: MetadataStore,
   metrics: RelayMetrics,
 ): MetadataStore {
-  async function counted<T>(
+  async function recordReply<T>(
     call: Promise<StoreReply<T>>,
   ): Promise<StoreReply<T>> {
     const reply = await call;
@@ -15,10 +18,10 @@
     return reply;
   }
 
-  async function measured<T extends {readonly transfer: BodyTransfer}>(
+  async function recordRead<T extends {readonly transfer: BodyTransfer}>(
     call: Promise<StoreReply<T>>,
   ): Promise<StoreReply<T>> {
-    const reply = await counted(call);
+    const reply = await recordReply(call);
     if (reply.kind === 'ok') {
       const {bytes, tookMs} = reply.value.transfer;
       metrics.storeBodyBytes.observe(bytes);
@@ -29,12 +32,12 @@
 
   return {
     list: (prefix, afterKey, begun) =>
-      measured(store.list(prefix, afterKey, begun)),
+      recordRead(store.list(prefix, afterKey, begun)),
     watch: (prefix, afterRevision, waitMs, signal) =>
-      measured(store.watch(prefix, afterRevision, waitMs, signal)),
-    grantLease: (ttlMs) => counted(store.grantLease(ttlMs)),
-    renewLease: (leaseId) => counted(store.renewLease(leaseId)),
-    endLease: (leaseId) => counted(store.endLease(leaseId)),
-    put: (write) => counted(store.put(write)),
+      recordRead(store.watch(prefix, afterRevision, waitMs, signal)),
+    grantLease: (ttlMs) => recordReply(store.grantLease(ttlMs)),
+    renewLease: (leaseId) => recordReply(store.renewLease(leaseId)),
+    endLease: (leaseId) => recordReply(store.endLease(leaseId)),
+    put: (write) => recordReply(store.put(write)),
   };
 }
--- a/packages/relay/src/config/gate.ts
+++ b/packages/relay/src/config/gate.ts
@@ -1,31 +1,32 @@
-/** Lets calls begin while it is open; closing it ends those that are under way. */
+/** Lets calls start while it is open; closing it aborts those in flight. */
 export class Gate {
-  private closing = new AbortController();
+  private abortController = new AbortController();
+  /** Resolve functions of the pending `whenOpen` calls. */
   private waiting: Array<() => void> = [];
 
   get isClosed(): boolean {
-    return this.closing.signal.aborted;
+    return this.abortController.signal.aborted;
   }
 
-  /** Aborted when the gate closes. */
+  /** Signal for the calls made while open; aborted when the gate closes. */
   get signal(): AbortSignal {
-    return this.closing.signal;
+    return this.abortController.signal;
   }
 
   close(): void {
-    this.closing.abort();
+    this.abortController.abort();
   }
 
   open(): void {
     if (!this.isClosed) return;
-    this.closing = new AbortController();
-    const passing = this.waiting;
+    this.abortController = new AbortController();
+    const released = this.waiting;
     this.waiting = [];
-    for (const pass of passing) pass();
+    for (const resolve of released) resolve();
   }
 
   /** Resolves once the gate is open. */
-  passed(): Promise<void> {
+  whenOpen(): Promise<void> {
     if (!this.isClosed) return Promise.resolve();
     return new Promise((resolve) => this.waiting.push(resolve));
   }
--- a/packages/relay/src/config/storeMirror.ts
+++ b/packages/relay/src/config/storeMirror.ts
@@ -10,55 +10,52 @@
   StoreItem,
   StoreReply,
 } from '../ports.js';
-import {describeFailure, listBelow, logSlowAnswer} from './storeReads.js';
+import {describeFailure, listAllPages, logSlowResponse} from './storeReads.js';
 
 /**
- * How long the first watch after an outage waits: as short as can be, since one
- * that is cut while it waits looks as if the store had not returned.
+ * How long a watch waits while the store is unavailable or probed. As short as possible:
+ * a watch that is cut while it waits looks as if the store were still unavailable.
  */
 const PROBE_WAIT_MS = 1;
 
-/** Pause after a call that failed: short, as a bound runs from the return. */
+/** Backoff after a failed call. Short, since deadlines run from the store's recovery. */
 const RETRY_BACKOFF = {firstMs: 60, maxMs: 800};
 
 /**
- * What is told of the items below one prefix. `clearMs` is the last moment at which
- * the store is known to have had no such change yet: news may be long on its way.
+ * Handles changes of the items below one prefix. `unchangedAtMs` is the latest time at
+ * which the store is known not to have had the change yet: a change may take long to
+ * arrive.
  */
 export interface MirrorSection {
   readonly prefix: string;
-  written(item: StoreItem, clearMs: number): void;
-  deleted(key: string, clearMs: number, revision: number): void;
-  /** All that the store had up to a revision was told, by a call of `sentMs`. */
+  written(item: StoreItem, unchangedAtMs: number): void;
+  deleted(key: string, unchangedAtMs: number, revision: number): void;
+  /** All changes up to a revision were delivered, by a call sent at `sentMs`. */
   caughtUp?(revision: number, sentMs: number): void;
-  /** The store was read whole at a revision; it has items under these keys alone. */
+  /** The prefix was read completely at a revision; only these keys exist below it. */
   listed?(keys: ReadonlySet<string>, revision: number): void;
 }
 
-/** What a mirror tells of the store itself. */
-export interface MirrorListener {
-  /** The store answers again; what changed meanwhile is told after this. */
-  returned(seen: StoreReturn): void;
-  /** The store stopped answering this process. */
+/** Handles changes of the store's availability to this process. */
+export interface StoreAvailabilityListener {
+  /** The store answers again. Called before the changes made meanwhile are delivered. */
+  returned(recovery: StoreReturn): void;
+  /** A call to the store failed. */
   lost(): void;
 }
 
-/** How eagerly a mirror follows the store. */
+/** Timing of a watcher's calls. */
 export interface MirrorPace {
-  /**
-   * How long one watch waits; a dead connection is noticed within this time and
-   * a margin.
-   */
+  /** How long one watch waits; a dead connection is detected soon after this time. */
   readonly waitMs: number;
-  /** Pause after changes, in which more of them gather. */
+  /** Pause after changes, so that the next watch returns further changes in one batch. */
   readonly gatherMs: number;
 }
 
-/** What a mirror is made from. */
-export interface MirrorSources {
+export interface StoreWatcherOptions {
   readonly sections: readonly MirrorSection[];
   readonly store: MetadataStore;
-  readonly listener: MirrorListener;
+  readonly listener: StoreAvailabilityListener;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: DecisionLogger;
@@ -66,32 +63,37 @@
 }
 
 /**
- * Follows the items below some prefixes of the store with one watch. Every answer of
- * a watch is paid for, and counts against the rate that all processes share.
+ * Watches the items below several prefixes of the store with one long poll: each
+ * response costs money and counts against the rate limit that all processes share.
  */
 export class StoreMirror {
+  /** Revisions of the known items, by key. */
   private readonly revisions = new Map<string, number>();
-  /** Begins all keys below the prefixes, and maybe others. */
+  /** Common prefix of all handlers; other keys may share it. */
   private readonly watchedPrefix: string;
-  private lostSinceMs: number | undefined;
-  /** When the store was last known to have failed a new call, since the loss. */
+  /** When the store became unavailable; undefined while it answers. */
+  private unavailableSinceMs: number | undefined;
+  /**
+   * When the last failed call was sent, not counting the first since the store was
+   * available.
+   */
   private lastFailedMs: number | undefined;
-  /** All that the store had at this time is known; at first nothing is. */
-  private clearMs = Number.NEGATIVE_INFINITY;
-  /** The watch that waits, which a probe ends. */
+  /** All changes that the store had at this time are known; initially none. */
+  private asOfMs = Number.NEGATIVE_INFINITY;
+  /** Aborts the watch that is waiting for changes, for a probe. */
   private waiting: AbortController | undefined;
-  /** True until the store has answered a probe, or failed to. */
+  /** True from a call to `probe` until the watch that it causes ends. */
   private isProbing = false;
 
-  constructor(private readonly sources: MirrorSources) {
-    const prefixes = sources.sections.map(({prefix}) => prefix);
+  constructor(private readonly options: StoreWatcherOptions) {
+    const prefixes = options.sections.map(({prefix}) => prefix);
     this.watchedPrefix = prefixes.reduce(commonPrefix);
   }
 
   /** Runs until `signal` is aborted. */
   async run(signal: AbortSignal): Promise<void> {
-    const {clock, log, random} = this.sources;
-    this.lostSinceMs = clock.nowMs();
+    const {clock, log, random} = this.options;
+    this.unavailableSinceMs = clock.nowMs();
     let failures = 0;
     let revision: number | undefined;
     while (!signal.aborted) {
@@ -100,7 +102,7 @@
         revision === undefined
           ? await this.list()
           : await this.watch(revision, signal);
-      if (step.kind === 'at') {
+      if (step.kind === 'synced') {
         failures = 0;
         revision = step.revision;
         continue;
@@ -117,94 +119,96 @@
     }
   }
 
-  /** Asks the store at once, as another call to it has failed. */
+  /** Checks at once whether the store answers, since another call to it failed. */
   probe(): void {
     this.isProbing = true;
     this.waiting?.abort();
   }
 
   private get watchWaitMs(): number {
-    // After an outage the first answer must come at once, changes or none.
-    const isLost = this.lostSinceMs !== undefined;
-    return isLost || this.isProbing ? PROBE_WAIT_MS : this.sources.pace.waitMs;
+    // The first response after an outage must not wait for changes.
+    const isUnavailable = this.unavailableSinceMs !== undefined;
+    return isUnavailable || this.isProbing
+      ? PROBE_WAIT_MS
+      : this.options.pace.waitMs;
   }
 
-  /** Reads all items; what is no longer there counts as deleted. */
-  private async list(): Promise<MirrorStep> {
-    const {sections, store, clock, log} = this.sources;
+  /** Reads all items; known items that are missing count as deleted. */
+  private async list(): Promise<WatcherStep> {
+    const {sections: handlers, store, clock, log} = this.options;
     const sentMs = clock.nowMs();
     const listings = await Promise.all(
-      sections.map(({prefix}) => listBelow(store, clock, log, prefix)),
+      handlers.map(({prefix}) => listAllPages(store, clock, log, prefix)),
     );
     const items: StoreItem[] = [];
     let revision = Number.POSITIVE_INFINITY;
     for (const listing of listings) {
       if (listing.kind !== 'ok') return {kind: 'failed', failure: listing};
       items.push(...listing.value.items);
-      // Listings are no snapshot: changes since the first are watched for.
+      // Listings are not a snapshot: the watch starts at the oldest of their revisions.
       revision = Math.min(revision, listing.value.revision);
     }
-    this.noteAnswered();
+    this.noteAvailable();
     for (const item of items) this.write(item);
     const found = new Set(items.map(({key}) => key));
     for (const key of [...this.revisions.keys()]) {
       if (!found.has(key)) this.remove(key, revision);
     }
-    for (const section of sections) {
-      const below = [...found].filter((key) => key.startsWith(section.prefix));
-      section.listed?.(new Set(below), revision);
+    for (const handler of handlers) {
+      const below = [...found].filter((key) => key.startsWith(handler.prefix));
+      handler.listed?.(new Set(below), revision);
     }
-    this.clearMs = sentMs;
-    return {kind: 'at', revision};
+    this.asOfMs = sentMs;
+    return {kind: 'synced', revision};
   }
 
   private async watch(
     revision: number,
     signal: AbortSignal,
-  ): Promise<MirrorStep> {
-    const {clock, pace, log, sections} = this.sources;
+  ): Promise<WatcherStep> {
+    const {clock, pace: timing, log, sections: handlers} = this.options;
     const sentMs = clock.nowMs();
     const waitMs = this.watchWaitMs;
-    const waiting = new AbortController();
-    const reply = await this.askWatch(revision, waitMs, signal, waiting);
-    // Ended for a probe, which comes next.
-    if (waiting.signal.aborted && !signal.aborted) {
-      return {kind: 'at', revision};
+    const aborter = new AbortController();
+    const reply = await this.sendWatch(revision, waitMs, signal, aborter);
+    // Aborted by `probe`: the next watch is the probe.
+    if (aborter.signal.aborted && !signal.aborted) {
+      return {kind: 'synced', revision};
     }
     this.isProbing = false;
     if (reply.kind !== 'ok') return {kind: 'failed', failure: reply};
     const {changes} = reply.value;
-    logSlowAnswer(log, 'watch', changes.length, reply.value.transfer);
-    this.noteAnswered();
+    logSlowResponse(log, 'watch', changes.length, reply.value.transfer);
+    this.noteAvailable();
     for (const change of changes) this.apply(change);
-    for (const section of sections) {
-      section.caughtUp?.(reply.value.revision, sentMs);
+    for (const handler of handlers) {
+      handler.caughtUp?.(reply.value.revision, sentMs);
     }
-    // A watch without a change was open all the while that it waited.
+    // A watch that ended without changes saw all changes until its end.
     const hasWaited = changes.length === 0 && clock.nowMs() >= sentMs + waitMs;
-    this.clearMs = sentMs + (hasWaited ? waitMs : 0);
+    this.asOfMs = sentMs + (hasWaited ? waitMs : 0);
     if (changes.length > 0) {
-      // Changes that come together are then one answer.
-      await sleep(clock, pace.gatherMs, signal);
+      // Changes that are made meanwhile arrive in one response.
+      await sleep(clock, timing.gatherMs, signal);
     }
-    return {kind: 'at', revision: Math.max(revision, reply.value.revision)};
+    return {kind: 'synced', revision: Math.max(revision, reply.value.revision)};
   }
 
-  private async askWatch(
+  private async sendWatch(
     revision: number,
     waitMs: number,
     signal: AbortSignal,
-    waiting: AbortController,
+    aborter: AbortController,
   ): Promise<StoreReply<StoreChanges>> {
-    const stop = (): void => waiting.abort();
+    const stop = (): void => aborter.abort();
     signal.addEventListener('abort', stop);
-    this.waiting = waiting;
-    const {store} = this.sources;
+    this.waiting = aborter;
+    const {store} = this.options;
     const reply = await store.watch(
       this.watchedPrefix,
       revision,
       waitMs,
-      waiting.signal,
+      aborter.signal,
     );
     this.waiting = undefined;
     signal.removeEventListener('abort', stop);
@@ -226,48 +230,48 @@
   }
 
   private write(item: StoreItem): void {
-    const section = this.sectionOf(item.key);
-    if (section === undefined) return;
+    const handler = this.handlerOf(item.key);
+    if (handler === undefined) return;
     if ((this.revisions.get(item.key) ?? 0) >= item.revision) return;
     this.revisions.set(item.key, item.revision);
-    section.written(item, this.clearMs);
+    handler.written(item, this.asOfMs);
   }
 
   private remove(key: string, revision: number): void {
     if (!this.revisions.delete(key)) return;
-    this.sectionOf(key)?.deleted(key, this.clearMs, revision);
+    this.handlerOf(key)?.deleted(key, this.asOfMs, revision);
   }
 
-  private sectionOf(key: string): MirrorSection | undefined {
-    return this.sources.sections.find(({prefix}) => key.startsWith(prefix));
+  private handlerOf(key: string): MirrorSection | undefined {
+    return this.options.sections.find(({prefix}) => key.startsWith(prefix));
   }
 
   /**
-   * A call that was sent at `sentMs` failed. The first one since an answer may have
-   * waited on a connection that had died; those after it are new.
+   * Records a failed call that was sent at `sentMs`. The first failure may come from a
+   * connection that had died earlier; later calls use new connections.
    */
   private noteFailed(failure: StoreFailure, sentMs: number): void {
-    const {clock, listener, log} = this.sources;
-    if (this.lostSinceMs !== undefined) {
-      // It may have met the end of the trouble, whenever its answer came.
+    const {clock, listener, log} = this.options;
+    if (this.unavailableSinceMs !== undefined) {
+      // The time of sending, as the store may have recovered before the call failed.
       this.lastFailedMs = sentMs;
       return;
     }
-    this.lostSinceMs = clock.nowMs();
+    this.unavailableSinceMs = clock.nowMs();
     log.warn('store.lost', {cause: describeFailure(failure)});
     listener.lost();
   }
 
-  /** The store answered with all that it had. */
-  private noteAnswered(): void {
-    const {clock, listener, log} = this.sources;
+  /** Records a successful response. */
+  private noteAvailable(): void {
+    const {clock, listener, log} = this.options;
     const nowMs = clock.nowMs();
-    if (this.lostSinceMs === undefined) return;
-    const {lostSinceMs, lastFailedMs} = this;
-    this.lostSinceMs = undefined;
+    if (this.unavailableSinceMs === undefined) return;
+    const {unavailableSinceMs, lastFailedMs} = this;
+    this.unavailableSinceMs = undefined;
     this.lastFailedMs = undefined;
     log.info('store.regained', {
-      lostForMs: Math.round(nowMs - lostSinceMs),
+      lostForMs: Math.round(nowMs - unavailableSinceMs),
       failedAgoMs: lastFailedMs && Math.round(nowMs - lastFailedMs),
     });
     listener.returned({atMs: nowMs, lastFailedMs});
@@ -280,6 +284,6 @@
   return first.slice(0, length);
 }
 
-type MirrorStep =
-  | {readonly kind: 'at'; readonly revision: number}
+type WatcherStep =
+  | {readonly kind: 'synced'; readonly revision: number}
   | {readonly kind: 'failed'; readonly failure: StoreFailure};
--- a/packages/relay/src/config/storeReads.ts
+++ b/packages/relay/src/config/storeReads.ts
@@ -12,15 +12,15 @@
 } from '../ports.js';
 
 /**
- * A page that has not begun to come by then is asked for again. The store answers in
- * 4 ms, and in a quarter of a second when it is slow; a silent one answers never.
+ * A page whose response has not started after `afterMs` is requested again. The store
+ * answers in 4 ms, and in 250 ms when it is slow; an unresponsive one never does.
  */
 const LIST_HEDGE = {afterMs: 300, mostOpen: 4};
 
-/** An answer whose body took longer than this from its head on is told of. */
-const SLOW_TRANSFER_MS = 100;
+/** Responses whose bodies took at least this long to arrive are logged. */
+const SLOW_RESPONSE_MS = 100;
 
-/** One page of the items below a prefix. */
+/** Reads one page of the items below a prefix, with a hedged request. */
 export function listPage(
   store: MetadataStore,
   clock: Clock,
@@ -35,22 +35,22 @@
   );
 }
 
-/** All items below a prefix, as of the revision of the first page or later. */
-export interface Listing {
+/** All items below a prefix, each as of the revision of the first page or later. */
+export interface StoreListing {
   readonly items: readonly StoreItem[];
-  /** Of the first page: pages are no snapshot. */
+  /** Revision of the first page; later pages may be newer, as pages are not a snapshot. */
   readonly revision: number;
-  /** Of all pages together. */
+  /** Sums over all pages. */
   readonly transfer: BodyTransfer;
 }
 
-/** Reads all pages below a prefix. */
-export async function listBelow(
+/** Reads all pages of the items below a prefix. */
+export async function listAllPages(
   store: MetadataStore,
   clock: Clock,
   log: DecisionLogger,
   prefix: string,
-): Promise<StoreReply<Listing>> {
+): Promise<StoreReply<StoreListing>> {
   const items: StoreItem[] = [];
   const transfer = {bytes: 0, tookMs: 0};
   let afterKey: string | undefined;
@@ -59,7 +59,7 @@
     const reply = await listPage(store, clock, prefix, afterKey);
     if (reply.kind !== 'ok') return reply;
     const {items: page, hasMore} = reply.value;
-    logSlowAnswer(log, 'list', page.length, reply.value.transfer);
+    logSlowResponse(log, 'list', page.length, reply.value.transfer);
     transfer.bytes += reply.value.transfer.bytes;
     transfer.tookMs += reply.value.transfer.tookMs;
     revision ??= reply.value.revision;
@@ -70,14 +70,14 @@
   return {kind: 'ok', value: {items, revision, transfer}};
 }
 
-/** Tells of an answer that was long on its way. */
-export function logSlowAnswer(
+/** Logs a response whose body was slow to arrive. */
+export function logSlowResponse(
   log: DecisionLogger,
   call: 'watch' | 'list',
   items: number,
   {bytes, tookMs}: BodyTransfer,
 ): void {
-  if (tookMs < SLOW_TRANSFER_MS) return;
+  if (tookMs < SLOW_RESPONSE_MS) return;
   log.info('store.slowAnswer', {
     call,
     items,
@@ -86,7 +86,7 @@
   });
 }
 
-/** One phrase for a log line. */
+/** Describes a failed call for a log line. */
 export function describeFailure(failure: StoreFailure): string {
   switch (failure.kind) {
     case 'refused':
