--- a/packages/relay/src/peers/__tests__/configFetch.test.ts
+++ b/packages/relay/src/peers/__tests__/configFetch.test.ts
@@ -1,6 +1,6 @@
 import {createRandom, VirtualClock} from '@lilacledge/shared';
 import {beforeEach, describe, expect, it} from 'vitest';
-import {ConfigFetch} from '../configFetch.js';
+import {PeerConfigFetcher} from '../configFetch.js';
 import type {Peer} from '../peerMesh.js';
 import {PeerRole} from '../peerMessages.js';
 
@@ -9,28 +9,28 @@
 
 let clock: VirtualClock;
 let version: number;
-let asked: string[];
-let fetch: ConfigFetch;
-let hasStore: boolean;
+let requestedFrom: string[];
+let fetch: PeerConfigFetcher;
+let isStoreAvailable: boolean;
 
 beforeEach(() => {
   clock = new VirtualClock();
   version = 1;
-  asked = [];
-  hasStore = false;
-  fetch = new ConfigFetch({
+  requestedFrom = [];
+  isStoreAvailable = false;
+  fetch = new PeerConfigFetcher({
     clock,
     random: createRandom(5),
     version: () => version,
     configApplyMs: () => APPLY_MS,
-    hasStore: () => hasStore,
+    isStoreAvailable: () => isStoreAvailable,
   });
 });
 
 function peer(instance: string): Peer {
   return {
     hello: {type: 'hello', instance, role: PeerRole.ENTRY, zone: 'north'},
-    send: () => asked.push(instance),
+    send: () => requestedFrom.push(instance),
     close: () => {},
   };
 }
@@ -41,61 +41,61 @@
   }
 }
 
-describe('ConfigFetch', () => {
-  it('asks nobody when the store brings the version in a moment', async () => {
+describe('PeerConfigFetcher', () => {
+  it('asks no peer when the store delivers the version promptly', async () => {
     offerAll(2);
     await clock.advance(50);
     version = 2;
     await clock.advance(APPLY_MS);
-    expect(asked).toEqual([]);
+    expect(requestedFrom).toEqual([]);
   });
 
-  it('asks one peer when the store does not, and no more once it answers', async () => {
+  it('asks one peer when the store does not deliver, and no other once that one has', async () => {
     offerAll(2);
-    await clock.advanceUntil(() => asked.length === 1);
+    await clock.advanceUntil(() => requestedFrom.length === 1);
     expect(clock.nowMs()).toBeLessThan(APPLY_MS / 4);
     version = 2;
     await clock.advance(APPLY_MS);
-    expect(asked).toHaveLength(1);
+    expect(requestedFrom).toHaveLength(1);
   });
 
-  it('asks another peer, in time, when the first does not answer', async () => {
+  it('asks another peer in time when the first does not answer', async () => {
     offerAll(2);
-    await clock.advanceUntil(() => asked.length === 2);
-    expect(new Set(asked).size).toBe(2);
+    await clock.advanceUntil(() => requestedFrom.length === 2);
+    expect(new Set(requestedFrom).size).toBe(2);
     expect(clock.nowMs()).toBeLessThan(APPLY_MS / 2);
   });
 
-  it('asks no peer whose link has ended', async () => {
+  it('does not ask a peer whose link has closed', async () => {
     const gone = peer('gone');
     fetch.noteOffer(gone, 2);
-    fetch.noteClosed(gone);
+    fetch.notePeerClosed(gone);
     await clock.advance(APPLY_MS);
-    expect(asked).toEqual([]);
+    expect(requestedFrom).toEqual([]);
   });
 
   it('asks at once while no version is known', () => {
     version = 0;
     offerAll(2);
-    expect(asked).toEqual(['peer-0']);
+    expect(requestedFrom).toEqual(['peer-0']);
   });
 
-  it('ignores a peer that has nothing newer', async () => {
+  it('ignores a peer without a newer version', async () => {
     offerAll(1);
     await clock.advance(APPLY_MS);
-    expect(asked).toEqual([]);
+    expect(requestedFrom).toEqual([]);
   });
 
   describe('while the store answers this entry', () => {
-    /** An own answer takes this long on a small link, with those of streams. */
+    /** Time that the store's response takes on a slow link, besides streams. */
     const TRANSFER_MS = 320;
     const GAP_MS = 200;
 
     beforeEach(() => {
-      hasStore = true;
+      isStoreAvailable = true;
     });
 
-    it('asks nobody for versions in series that its own answers bring', async () => {
+    it('asks no peer for a series of versions that the store delivers', async () => {
       for (let made = 2; made < 40; made++) {
         offerAll(made);
         clock.after(TRANSFER_MS, () => {
@@ -103,15 +103,15 @@
         });
         await clock.advance(GAP_MS);
       }
-      expect(asked).toEqual([]);
+      expect(requestedFrom).toEqual([]);
     });
 
-    it('still asks early enough for a version that does not come', async () => {
+    it('still asks a peer in time for a version that the store does not deliver', async () => {
       offerAll(2);
       await clock.advance(APPLY_MS * 0.1);
       offerAll(3);
       version = 2;
-      await clock.advanceUntil(() => asked.length === 1);
+      await clock.advanceUntil(() => requestedFrom.length === 1);
       expect(clock.nowMs()).toBeLessThan(APPLY_MS * 0.7);
     });
   });
--- a/packages/relay/src/peers/__tests__/linkPlan.test.ts
+++ b/packages/relay/src/peers/__tests__/linkPlan.test.ts
@@ -2,7 +2,7 @@
 import {
   entriesOfSidecar,
   entriesToDial,
-  farEnginesToDial,
+  crossZoneEnginesToDial,
 } from '../linkPlan.js';
 import type {Member} from '../membership.js';
 
@@ -16,7 +16,7 @@
   }));
 }
 
-/** Names of the entries at the other end of an entry's links, by name. */
+/** Names of the linked entries, by the name of each entry. */
 function linksOf(fleet: readonly Member[]): Map<string, Set<string>> {
   const links = new Map<string, Set<string>>(
     fleet.map(({instance}) => [instance, new Set()]),
@@ -30,23 +30,23 @@
   return links;
 }
 
-/** Hops until news of the first entry is known to all but the silent ones. */
+/** Hops until an update from the first entry has reached all but the failed ones. */
 function hopsToAll(
   links: ReadonlyMap<string, ReadonlySet<string>>,
-  silent: ReadonlySet<string> = new Set(),
+  failed: ReadonlySet<string> = new Set(),
 ): number {
-  const speaking = [...links.keys()].filter((name) => !silent.has(name));
-  let reached = new Set([speaking[0]!]);
+  const alive = [...links.keys()].filter((name) => !failed.has(name));
+  let reached = new Set([alive[0]!]);
   for (let hops = 0; hops < links.size; hops++) {
-    if (reached.size === speaking.length) return hops;
+    if (reached.size === alive.length) return hops;
     const next = [...reached].flatMap((name) => [...links.get(name)!]);
-    reached = new Set([...reached, ...next.filter((n) => !silent.has(n))]);
+    reached = new Set([...reached, ...next.filter((n) => !failed.has(n))]);
   }
   return Number.POSITIVE_INFINITY;
 }
 
 describe('entriesToDial', () => {
-  it('links all entries of a small fleet, each two once', () => {
+  it('links each pair of entries of a small fleet once', () => {
     const fleet = fleetOf(5);
     const dials = fleet.flatMap(({instance}) => entriesToDial(instance, fleet));
     expect(dials).toHaveLength(10);
@@ -67,13 +67,13 @@
     },
   );
 
-  it('reaches all others when a third in a row is silent', () => {
+  it('still connects the others when a contiguous third of the fleet has failed', () => {
     const fleet = fleetOf(27);
-    const silent = new Set(fleet.slice(9, 18).map(({instance}) => instance));
-    expect(hopsToAll(linksOf(fleet), silent)).toBeLessThan(10);
+    const failed = new Set(fleet.slice(9, 18).map(({instance}) => instance));
+    expect(hopsToAll(linksOf(fleet), failed)).toBeLessThan(10);
   });
 
-  it('counts itself before the store told of it', () => {
+  it('includes the own entry before the store has delivered it', () => {
     const fleet = fleetOf(20);
     const dialled = entriesToDial('entry-005x', fleet);
     expect(dialled.map(({instance}) => instance)).toContain('entry-006');
@@ -81,17 +81,17 @@
 });
 
 describe('entriesOfSidecar', () => {
-  it('takes all entries of a small fleet', () => {
+  it('returns all entries of a small fleet', () => {
     expect(entriesOfSidecar('north', fleetOf(12))).toHaveLength(12);
   });
 
-  it('takes those of its own zone in a larger one', () => {
-    const taken = entriesOfSidecar('north', fleetOf(27));
-    expect(taken).toHaveLength(9);
-    expect(new Set(taken.map(({zone}) => zone))).toEqual(new Set(['north']));
+  it('returns the entries of its own zone in a large fleet', () => {
+    const entries = entriesOfSidecar('north', fleetOf(27));
+    expect(entries).toHaveLength(9);
+    expect(new Set(entries.map(({zone}) => zone))).toEqual(new Set(['north']));
   });
 
-  it('takes some of others when its own zone has none', () => {
+  it('returns entries of other zones when its own zone has none', () => {
     expect(entriesOfSidecar('east', fleetOf(27)).length).toBeGreaterThan(0);
   });
 });
@@ -99,21 +99,23 @@
 describe('farEnginesToDial', () => {
   const engines = Array.from({length: 170}, (_, index) => `engine-${index}`);
 
-  it('links to all where there are few', () => {
+  it('returns all engines if there are few', () => {
     const few = engines.slice(0, 18);
-    expect([...farEnginesToDial('entry-1', few)].sort()).toEqual(few.sort());
+    expect([...crossZoneEnginesToDial('entry-1', few)].sort()).toEqual(
+      few.sort(),
+    );
   });
 
-  it('does not grow with the fleet', () => {
-    expect(farEnginesToDial('entry-1', engines).size).toBe(24);
+  it('returns a limited number of engines of a large fleet', () => {
+    expect(crossZoneEnginesToDial('entry-1', engines).size).toBe(24);
   });
 
-  it('changes by one when an engine goes', () => {
-    const before = farEnginesToDial('entry-1', engines);
-    const [gone] = before;
-    const after = farEnginesToDial(
+  it('replaces only one engine when one is removed', () => {
+    const before = crossZoneEnginesToDial('entry-1', engines);
+    const [removed] = before;
+    const after = crossZoneEnginesToDial(
       'entry-1',
-      engines.filter((id) => id !== gone),
+      engines.filter((id) => id !== removed),
     );
     const added = [...after].filter((id) => !before.has(id));
     expect(added).toHaveLength(1);
@@ -123,11 +125,11 @@
   it('spreads the links of all entries over the engines', () => {
     const links = new Map(engines.map((id) => [id, 0]));
     for (const {instance} of fleetOf(130)) {
-      for (const id of farEnginesToDial(instance, engines)) {
+      for (const id of crossZoneEnginesToDial(instance, engines)) {
         links.set(id, links.get(id)! + 1);
       }
     }
-    // 18 each, if they were equal.
+    // An even distribution gives 18 links to each engine.
     expect(Math.max(...links.values())).toBeLessThan(2 * 18);
     expect(Math.min(...links.values())).toBeGreaterThan(0);
   });
--- a/packages/relay/src/peers/__tests__/loadLooks.test.ts
+++ b/packages/relay/src/peers/__tests__/loadLooks.test.ts
@@ -2,24 +2,24 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import {Endpoint} from '../../endpoints/endpoint.js';
 import {testRecord} from '../../__tests__/testRecord.js';
-import {LoadLooks} from '../loadLooks.js';
+import {LoadQueries} from '../loadLooks.js';
 import type {Peer} from '../peerMesh.js';
 
 const PROMPT = {requestId: 'r', promptTokens: 100};
 
 let clock: VirtualClock;
-let asked: string[];
+let sentMessages: string[];
 let linked: Set<string>;
-let looks: LoadLooks;
+let queries: LoadQueries;
 
 beforeEach(() => {
   clock = new VirtualClock();
-  asked = [];
+  sentMessages = [];
   linked = new Set(['a', 'b']);
-  looks = new LoadLooks(({id}) => {
+  queries = new LoadQueries(({id}) => {
     if (!linked.has(id)) return undefined;
     return {
-      send: ({type}) => asked.push(`${type} ${id}`),
+      send: ({type}) => sentMessages.push(`${type} ${id}`),
     } as Partial<Peer> as Peer;
   }, clock);
 });
@@ -28,45 +28,47 @@
   return new Endpoint(testRecord({id}), 0);
 }
 
-/** Whether a look has come to its end, once what is due now is done. */
-async function hasEnded(look: Promise<void>): Promise<boolean> {
-  let ended = false;
-  void look.then(() => (ended = true));
+/** Whether a query has completed, after pending callbacks have run. */
+async function hasCompleted(query: Promise<void>): Promise<boolean> {
+  let isCompleted = false;
+  void query.then(() => (isCompleted = true));
   await clock.advance(0);
-  return ended;
+  return isCompleted;
 }
 
-describe('a look at engines', () => {
-  it('ends once all have told their load', async () => {
+describe('LoadQueries', () => {
+  it('completes once all loads were received', async () => {
     const [a, b] = [endpoint('a'), endpoint('b')];
-    const look = looks.ask([a, b], PROMPT);
-    expect(asked).toEqual(['loadAsk a', 'loadAsk b']);
-    looks.noteLoad(a);
-    expect(await hasEnded(look)).toBe(false);
-    looks.noteLoad(b);
-    expect(await hasEnded(look)).toBe(true);
+    const query = queries.query([a, b], PROMPT);
+    expect(sentMessages).toEqual(['loadAsk a', 'loadAsk b']);
+    queries.noteLoad(a);
+    expect(await hasCompleted(query)).toBe(false);
+    queries.noteLoad(b);
+    expect(await hasCompleted(query)).toBe(true);
   });
 
-  it('leaves those out whose sidecars cannot be asked', async () => {
-    expect(await hasEnded(looks.ask([endpoint('c')], PROMPT))).toBe(true);
-    expect(asked).toEqual([]);
+  it('skips endpoints without a link to their sidecars', async () => {
+    expect(await hasCompleted(queries.query([endpoint('c')], PROMPT))).toBe(
+      true,
+    );
+    expect(sentMessages).toEqual([]);
   });
 
-  it('does not wait long for a sidecar that is dead', async () => {
-    const look = looks.ask([endpoint('a')], PROMPT);
+  it('times out if a sidecar does not answer', async () => {
+    const query = queries.query([endpoint('a')], PROMPT);
     await clock.advance(50);
-    expect(await hasEnded(look)).toBe(true);
+    expect(await hasCompleted(query)).toBe(true);
   });
 
-  it('serves all who look at the same engine', async () => {
+  it('completes all queries of the same engine with one load', async () => {
     const a = endpoint('a');
-    const both = [looks.ask([a], PROMPT), looks.ask([a], PROMPT)];
-    looks.noteLoad(a);
-    for (const look of both) expect(await hasEnded(look)).toBe(true);
+    const both = [queries.query([a], PROMPT), queries.query([a], PROMPT)];
+    queries.noteLoad(a);
+    for (const query of both) expect(await hasCompleted(query)).toBe(true);
   });
 
-  it('tells those that were asked in vain', () => {
-    looks.release([endpoint('a'), endpoint('c')], PROMPT);
-    expect(asked).toEqual(['loadRelease a']);
+  it('releases the prompt at queried engines', () => {
+    queries.release([endpoint('a'), endpoint('c')], PROMPT);
+    expect(sentMessages).toEqual(['loadRelease a']);
   });
 });
--- a/packages/relay/src/peers/__tests__/memberNews.test.ts
+++ b/packages/relay/src/peers/__tests__/memberNews.test.ts
@@ -1,16 +1,16 @@
 import {createRandom, VirtualClock} from '@lilacledge/shared';
 import {Packr} from 'msgpackr';
 import {beforeEach, describe, expect, it} from 'vitest';
-import {MemberNews} from '../memberNews.js';
+import {MembershipNotifier} from '../memberNews.js';
 import type {Member} from '../membership.js';
 import type {Peer} from '../peerMesh.js';
 import {PeerRole} from '../peerMessages.js';
 import type {Members, PeerMessage} from '../peerMessages.js';
 
 /*
- * Seen: 24 of 68 entries that the store had turned away came back together, and each
- * entry sent the whole list to each sidecar at each of the changes. Streams waited
- * for half a second behind a megabyte on the smallest links.
+ * Guards against a broadcast storm. When 24 of 68 entries, which the store had rejected,
+ * registered again together, each entry sent the whole list to each sidecar at each
+ * change. On the slowest links, streams were delayed for half a second by a megabyte.
  */
 
 const ZONES = ['one', 'two', 'three', 'four', 'five'];
@@ -18,11 +18,11 @@
 const SIDECARS = 40;
 const RETURNING = 24;
 
-/** The smallest link of an entry, in bytes a millisecond: 14 Mbit/s. */
+/** Bandwidth of an entry's slowest network link, in bytes per millisecond: 14 Mbit/s. */
 const LINK_BYTES_PER_MS = 1_750;
 
-/** Events of streams may wait this long at most behind our own messages. */
-const MOST_DELAY_MS = 20;
+/** Maximum time for which events of streams may be delayed by membership messages. */
+const MAX_DELAY_MS = 20;
 
 interface Sent {
   readonly atMs: number;
@@ -34,7 +34,7 @@
 
 let clock: VirtualClock;
 let members: Member[];
-let news: MemberNews;
+let notifier: MembershipNotifier;
 
 beforeEach(() => {
   clock = new VirtualClock();
@@ -43,7 +43,7 @@
     address: {host: `10.1.${place % ZONES.length}.${place}`, port: 8_522},
     zone: ZONES[place % ZONES.length]!,
   }));
-  news = new MemberNews(() => members, clock, createRandom(3));
+  notifier = new MembershipNotifier(() => members, clock, createRandom(3));
 });
 
 function sidecarIn(zone: string, sent: Sent[]): Peer {
@@ -57,8 +57,8 @@
   };
 }
 
-/** Longest time for which the smallest link is busy with what was sent. */
-function longestBusyMs(sent: readonly Sent[]): number {
+/** Longest time for which the sent messages occupy the slowest link. */
+function maxQueueDelayMs(sent: readonly Sent[]): number {
   let freeAtMs = 0;
   let longestMs = 0;
   for (const {atMs, bytes} of sent) {
@@ -68,39 +68,39 @@
   return longestMs;
 }
 
-describe('MemberNews', () => {
-  it('keeps the smallest link free when a third of the fleet is back', async () => {
+describe('MembershipNotifier', () => {
+  it('does not congest the slowest link when a third of the fleet registers again', async () => {
     const sent: Sent[] = [];
     for (let place = 0; place < SIDECARS; place++) {
-      news.opened(sidecarIn(ZONES[place % ZONES.length]!, sent));
+      notifier.opened(sidecarIn(ZONES[place % ZONES.length]!, sent));
     }
     sent.length = 0;
     const all = members;
     const left = all.slice(RETURNING);
     members = left;
-    news.changed();
+    notifier.changed();
     await clock.advance(3_000);
     for (let back = 1; back <= RETURNING; back++) {
       members = [...left, ...all.slice(0, back)];
-      news.changed();
+      notifier.changed();
       await clock.advance(20);
     }
     await clock.advance(3_000);
-    expect(longestBusyMs(sent)).toBeLessThan(MOST_DELAY_MS);
+    expect(maxQueueDelayMs(sent)).toBeLessThan(MAX_DELAY_MS);
     expect(sent.length).toBeGreaterThan(SIDECARS);
   });
 
-  describe('to a sidecar of a large fleet', () => {
+  describe('for a sidecar of a large fleet', () => {
     let sent: Sent[];
     let sidecar: Peer;
 
     beforeEach(() => {
       sent = [];
       sidecar = sidecarIn('two', sent);
-      news.opened(sidecar);
+      notifier.opened(sidecar);
     });
 
-    it('tells of the entries of its zone when the link opens', () => {
+    it('sends the entries of its zone when the link opens', () => {
       const [{message}] = sent as [Sent];
       expect(new Set(message.entries.map(({zone}) => zone))).toEqual(
         new Set(['two']),
@@ -109,11 +109,11 @@
       expect(message.isZoned).toBe(true);
     });
 
-    it('tells once of what came and went meanwhile', async () => {
+    it('sends the changes of the batch delay in one message', async () => {
       const [first] = members.splice(1, 1);
-      news.changed();
+      notifier.changed();
       members.splice(1, 1);
-      news.changed();
+      notifier.changed();
       await clock.advance(2_000);
       expect(sent).toHaveLength(2);
       const {host, port} = first!.address;
@@ -123,26 +123,26 @@
       });
     });
 
-    it('says nothing of entries of other zones', async () => {
+    it('sends nothing when entries of other zones change', async () => {
       members.splice(0, 1);
-      news.changed();
+      notifier.changed();
       await clock.advance(2_000);
       expect(sent).toHaveLength(1);
     });
 
-    it('says nothing once its link has ended', async () => {
+    it('sends nothing after its link has closed', async () => {
       members.splice(1, 1);
-      news.changed();
-      news.closed(sidecar);
+      notifier.changed();
+      notifier.closed(sidecar);
       await clock.advance(2_000);
       expect(sent).toHaveLength(1);
     });
   });
 
-  it('tells a sidecar of all entries while the fleet is small', () => {
+  it('sends all entries to a sidecar of a small fleet', () => {
     members = members.slice(0, 5);
     const sent: Sent[] = [];
-    news.opened(sidecarIn('two', sent));
+    notifier.opened(sidecarIn('two', sent));
     expect(sent[0]!.message.entries).toHaveLength(5);
     expect(sent[0]!.message.isZoned).toBe(false);
   });
--- a/packages/relay/src/peers/__tests__/memberView.test.ts
+++ b/packages/relay/src/peers/__tests__/memberView.test.ts
@@ -15,45 +15,45 @@
 }
 
 describe('MemberView', () => {
-  it('tells of an entry that is new or has moved, once', () => {
+  it('reports an entry that is new or has a new address as a change, once', () => {
     expect(view.noteRegistered(member('a'))).toBe(true);
     expect(view.noteRegistered(member('a'))).toBe(false);
     expect(view.noteRegistered(member('a', 81))).toBe(true);
   });
 
-  describe('when a registration lapses', () => {
-    it('drops an entry that nothing else shows', () => {
+  describe('when a registration expires', () => {
+    it('removes an entry without an open link', () => {
       view.noteRegistered(member('a'));
-      expect(view.noteLapsed('a')).toBe(true);
+      expect(view.noteExpired('a')).toBe(true);
       expect(view.size).toBe(0);
     });
 
-    it('keeps an entry with an open link, and nothing changes', () => {
+    it('keeps an entry with an open link and reports no change', () => {
       linked.add('a');
       view.noteRegistered(member('a'));
-      expect(view.noteLapsed('a')).toBe(false);
+      expect(view.noteExpired('a')).toBe(false);
       expect(view.noteRegistered(member('a'))).toBe(false);
       expect(view.size).toBe(1);
     });
 
-    it('drops it when the link has ended too', () => {
+    it('removes the entry once the link closes too', () => {
       linked.add('a');
       view.noteRegistered(member('a'));
-      view.noteLapsed('a');
+      view.noteExpired('a');
       linked.clear();
-      expect(view.noteUnlinked('a')).toBe(true);
+      expect(view.noteLinkClosed('a')).toBe(true);
       expect(view.size).toBe(0);
     });
   });
 
-  it('keeps a registered entry whose link ended', () => {
+  it('keeps a registered entry whose link closed', () => {
     view.noteRegistered(member('a'));
-    expect(view.noteUnlinked('a')).toBe(false);
+    expect(view.noteLinkClosed('a')).toBe(false);
     expect(view.size).toBe(1);
   });
 
-  it('knows nothing of a name that never registered', () => {
-    expect(view.noteLapsed('x')).toBe(false);
-    expect(view.noteUnlinked('x')).toBe(false);
+  it('ignores an entry that never registered', () => {
+    expect(view.noteExpired('x')).toBe(false);
+    expect(view.noteLinkClosed('x')).toBe(false);
   });
 });
--- a/packages/relay/src/peers/__tests__/peerMesh.test.ts
+++ b/packages/relay/src/peers/__tests__/peerMesh.test.ts
@@ -42,13 +42,13 @@
   return mesh;
 }
 
-/** Names of the processes at the other ends of a mesh's open links. */
+/** Instance names of the peers with an open link. */
 function peersOf(mesh: PeerMesh): string[] {
   return [...mesh.peers].map(({hello}) => hello.instance).sort();
 }
 
 describe('PeerMesh', () => {
-  it('keeps links to the addresses that it is told to retain', async () => {
+  it('keeps links to the retained addresses only', async () => {
     const own = startMesh('own');
     startMesh('a', addresses[0]);
     startMesh('b', addresses[1]);
@@ -58,7 +58,7 @@
     await expect.poll(() => peersOf(own)).toEqual(['b']);
   });
 
-  it('keeps a link that is no longer planned for a time, and no longer', async () => {
+  it('closes a link that is no longer retained after `keptMs`', async () => {
     const own = startMesh('own');
     startMesh('a', addresses[0]);
     own.retain([addresses[0]!]);
@@ -69,7 +69,7 @@
     await expect.poll(() => peersOf(own), {timeout: 2_000}).toEqual([]);
   });
 
-  it('opens no second link when a plan returns in that time', async () => {
+  it('keeps the same link when its address is retained again before `keptMs`', async () => {
     const own = startMesh('own');
     startMesh('a', addresses[0]);
     own.retain([addresses[0]!]);
@@ -81,7 +81,7 @@
     expect([...own.peers]).toEqual([before]);
   });
 
-  it('keeps a released link while it works, and dials it no more', async () => {
+  it('keeps a released link until it closes, and does not dial it again', async () => {
     const own = startMesh('own');
     const other = startMesh('a', addresses[0]);
     own.dial(addresses[0]!);
@@ -94,9 +94,9 @@
     expect(peersOf(own)).toEqual([]);
   });
 
-  it('has one link to an address that was dropped and taken again', async () => {
+  it('opens one link to an address that was dropped and retained again', async () => {
     const own = startMesh('own');
-    // Nobody listens at first, so that a try is always waiting.
+    // Without a listener a redial is always pending when the address is dropped.
     own.retain([addresses[2]!]);
     await new Promise((resolve) => setTimeout(resolve, 50));
     own.retain([]);
@@ -107,7 +107,7 @@
     expect(peersOf(own)).toEqual(['c']);
   });
 
-  it('dials again when a link is lost', async () => {
+  it('dials again after the peer was restarted', async () => {
     const own = startMesh('own');
     own.retain([addresses[0]!]);
     const server = createServer((_request, response) => response.end());
--- a/packages/relay/src/peers/__tests__/peerMessages.test.ts
+++ b/packages/relay/src/peers/__tests__/peerMessages.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {toPeerMessage} from '../peerMessages.js';
+import {parsePeerMessage} from '../peerMessages.js';
 
 const MEMBERS = {
   type: 'members',
@@ -26,37 +26,37 @@
 };
 
 describe('toPeerMessage', () => {
-  it('takes messages of ours', () => {
-    expect(toPeerMessage(MEMBERS)).toBe(MEMBERS);
-    expect(toPeerMessage(LOAD)).toBe(LOAD);
-    expect(toPeerMessage({...LOAD, startedAtMs: 7})).toBeDefined();
-    expect(toPeerMessage(SUSPICION)).toBe(SUSPICION);
+  it('accepts valid messages', () => {
+    expect(parsePeerMessage(MEMBERS)).toBe(MEMBERS);
+    expect(parsePeerMessage(LOAD)).toBe(LOAD);
+    expect(parsePeerMessage({...LOAD, startedAtMs: 7})).toBeDefined();
+    expect(parsePeerMessage(SUSPICION)).toBe(SUSPICION);
   });
 
   it.each([
-    ['no list', {...MEMBERS, entries: {}}],
-    ['a list with holes', {...MEMBERS, entries: [null]}],
-    ['a place without a zone', {...MEMBERS, entries: [{address: 'a:1'}]}],
-    ['addresses that are none', {...MEMBERS, gone: [7]}],
-    ['a count that is no number', {...LOAD, queued: Number.NaN}],
-    ['a count below zero', {...LOAD, memoryUsedTokens: -1}],
-    ['a count without end', {...LOAD, memoryTokens: Infinity}],
-    ['a start that is a text', {...LOAD, startedAtMs: 'soon'}],
-    ['bytes that are none', {type: 'configBody', bytes: {}}],
-    ['an end of nothing', {...SUSPICION, ends: [null]}],
-    ['an end without an age', {...SUSPICION, ends: [{life: 'e-1'}]}],
-    ['ends that are no list', {...SUSPICION, ends: {}}],
-    ['a type of the language’s own', {type: 'constructor'}],
-  ])('refuses %s', (_name, message) => {
-    expect(toPeerMessage(message)).toBeUndefined();
+    ['an object instead of a list', {...MEMBERS, entries: {}}],
+    ['a list that contains null', {...MEMBERS, entries: [null]}],
+    ['an entry without a zone', {...MEMBERS, entries: [{address: 'a:1'}]}],
+    ['an address that is a number', {...MEMBERS, gone: [7]}],
+    ['a count that is NaN', {...LOAD, queued: Number.NaN}],
+    ['a negative count', {...LOAD, memoryUsedTokens: -1}],
+    ['an infinite count', {...LOAD, memoryTokens: Infinity}],
+    ['a start time that is a string', {...LOAD, startedAtMs: 'soon'}],
+    ['bytes that are an object', {type: 'configBody', bytes: {}}],
+    ['a crash end that is null', {...SUSPICION, ends: [null]}],
+    ['a crash end without ages', {...SUSPICION, ends: [{life: 'e-1'}]}],
+    ['crash ends that are not a list', {...SUSPICION, ends: {}}],
+    ['a type that is an inherited property of objects', {type: 'constructor'}],
+  ])('rejects %s', (_name, message) => {
+    expect(parsePeerMessage(message)).toBeUndefined();
   });
 
-  it('throws on nothing', () => {
+  it('does not throw on any input', () => {
     const types = fc.constantFrom('members', 'engineLoad', 'hello', 'x');
     const value = fc.record({type: types, entries: fc.anything()});
     fc.assert(
       fc.property(fc.oneof(value, fc.anything()), (message) => {
-        toPeerMessage(message);
+        parsePeerMessage(message);
       }),
       {seed: 21, numRuns: 1_000},
     );
--- a/packages/relay/src/peers/borrowedLinks.ts
+++ b/packages/relay/src/peers/borrowedLinks.ts
@@ -2,57 +2,58 @@
 import type {EndpointAddress} from '../model/index.js';
 import type {RelayContext} from '../requests/relayContext.js';
 
-/** A link that is neither planned nor has runs at its engine is kept for this long. */
-const IDLE_MS = 5_000;
+/** How long a link is kept that is neither planned nor has runs at its engine. */
+const IDLE_TIMEOUT_MS = 5_000;
 
-interface Borrowed {
+/** A link to a sidecar of another zone. */
+interface CrossZoneLink {
   readonly address: EndpointAddress;
-  usedAtMs: number;
+  lastUsedMs: number;
 }
 
 /**
- * Sidecars of other zones that this entry links to, in fleets where sidecars link to
- * entries of their own zone only: those that it plans, and those of engines where it
- * has runs.
+ * Tracks the links of this entry to sidecars of other zones, in fleets where sidecars link
+ * to entries of their own zone only: the planned ones, and those to engines where this
+ * entry has runs.
  */
-export class BorrowedLinks {
-  private readonly byEndpoint = new Map<string, Borrowed>();
+export class CrossZoneLinks {
+  private readonly linkByEndpoint = new Map<string, CrossZoneLink>();
 
   constructor(private readonly context: RelayContext) {}
 
   get addresses(): EndpointAddress[] {
-    return [...this.byEndpoint.values()].map(({address}) => address);
+    return [...this.linkByEndpoint.values()].map(({address}) => address);
   }
 
   has(endpoint: Endpoint): boolean {
-    return this.byEndpoint.has(endpoint.id);
+    return this.linkByEndpoint.has(endpoint.id);
   }
 
-  /** Where the sidecar of an engine is dialled; undefined in the own zone. */
-  take(endpoint: Endpoint): EndpointAddress | undefined {
+  /** The address to dial for the sidecar of an engine; undefined within the own zone. */
+  acquire(endpoint: Endpoint): EndpointAddress | undefined {
     const {clock, settings} = this.context;
     if (endpoint.record.zone === settings.zone) return undefined;
-    // Sidecars run beside their engines, and all listen on the same port.
+    // A sidecar runs on its engine's host, and all sidecars listen on the same port.
     const {host} = endpoint.record.address;
     const address = {host, port: settings.linkPort};
-    this.byEndpoint.set(endpoint.id, {address, usedAtMs: clock.nowMs()});
+    this.linkByEndpoint.set(endpoint.id, {address, lastUsedMs: clock.nowMs()});
     return address;
   }
 
-  /** Gives up links that are not needed; their addresses. */
-  giveBackIdle(): EndpointAddress[] {
+  /** Removes idle links and those to removed endpoints, and returns their addresses. */
+  popIdle(): EndpointAddress[] {
     const {clock, endpoints, runs} = this.context;
     const nowMs = clock.nowMs();
     const idle: EndpointAddress[] = [];
-    for (const [id, borrowed] of this.byEndpoint) {
+    for (const [id, link] of this.linkByEndpoint) {
       const endpoint = endpoints.get(id);
       if (endpoint !== undefined && runs.at(endpoint).length > 0) {
-        borrowed.usedAtMs = nowMs;
+        link.lastUsedMs = nowMs;
       }
-      const isIdle = nowMs - borrowed.usedAtMs > IDLE_MS;
+      const isIdle = nowMs - link.lastUsedMs > IDLE_TIMEOUT_MS;
       if (endpoint !== undefined && !isIdle) continue;
-      this.byEndpoint.delete(id);
-      idle.push(borrowed.address);
+      this.linkByEndpoint.delete(id);
+      idle.push(link.address);
     }
     return idle;
   }
--- a/packages/relay/src/peers/configFetch.ts
+++ b/packages/relay/src/peers/configFetch.ts
@@ -2,104 +2,106 @@
 import type {Peer} from './peerMesh.js';
 
 /**
- * Part of the time until a configuration must be in force in which the store's own
- * answer is waited for; it is there in milliseconds when all is well. An entry that
- * the store turns away then still asks early enough for two peers in a row.
+ * Fraction of `configApplyMs` to wait for a configuration from the store before a peer is
+ * asked. The store normally delivers within milliseconds; an entry that the store rejects
+ * then still has time to ask two peers in a row.
  */
-const OWN_ANSWER_SHARE = 0.1;
+const STORE_WAIT_FRACTION = 0.1;
 
-/** The same until the next peer is asked, when one has not answered. */
-const NEXT_PEER_SHARE = 0.15;
+/** Fraction of `configApplyMs` to wait for a peer's answer before the next one is asked. */
+const PEER_WAIT_FRACTION = 0.15;
 
 /**
- * The same while the store answers this entry: its own answer may be long on its way
- * on a small link, and a peer's copy beside it would slow both. In a series of large
- * versions nearly each was had twice.
+ * `STORE_WAIT_FRACTION` while the store answers this entry. On a slow link the store's
+ * response takes long, and a peer's copy at the same time would slow down both: with a
+ * shorter wait, nearly every version of a series of large ones was received twice.
  */
-const SERVED_ANSWER_SHARE = 0.35;
+const CONNECTED_STORE_WAIT_FRACTION = 0.35;
 
-/** What a fetch looks at. */
-export interface ConfigFetchSources {
+export interface PeerConfigFetcherOptions {
   readonly clock: Clock;
   readonly random: Random;
-  /** Version in force; 0 while none is. */
+  /** The active version; 0 while there is none. */
   version(): number;
-  /** Longest time until a new configuration is in force. */
+  /** Maximum time until a new configuration must be active. */
   configApplyMs(): number;
   /** True while the store answers this entry. */
-  hasStore(): boolean;
+  isStoreAvailable(): boolean;
 }
 
+/** A version that a peer has active. */
 interface Offer {
   readonly peer: Peer;
   readonly version: number;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
 /**
- * Fetches a newer configuration from one peer at a time, if the store does not bring
- * it. A configuration is a hundred kilobytes where it has many routes, and all peers
- * learn of it at the same moment: if each asked at once, an entry's link would carry
- * it eight times beside its callers' streams.
+ * Fetches a newer configuration from one peer at a time, if the store does not deliver
+ * it. A configuration with many routes has a hundred kilobytes, and all peers announce it
+ * at the same time: if it were requested from all of them, an entry's link would carry it
+ * eight times, besides its callers' streams.
  */
-export class ConfigFetch {
+export class PeerConfigFetcher {
   private readonly offers: Offer[] = [];
   private cancelTimer: CancelTimer | undefined;
 
-  constructor(private readonly sources: ConfigFetchSources) {}
+  constructor(private readonly options: PeerConfigFetcherOptions) {}
 
-  /** A peer has this version in force. */
+  /** A peer has this version active. */
   noteOffer(peer: Peer, version: number): void {
-    if (version <= this.sources.version()) return;
-    this.offers.push({peer, version, heardAtMs: this.sources.clock.nowMs()});
+    if (version <= this.options.version()) return;
+    this.offers.push({peer, version, receivedAtMs: this.options.clock.nowMs()});
     if (this.cancelTimer !== undefined) return;
-    // Without any configuration nobody can be served.
-    if (this.sources.version() === 0) this.askNext();
-    else this.wait(this.ownAnswerShare);
+    // No request can be served without a configuration.
+    if (this.options.version() === 0) this.requestFromNextPeer();
+    else this.wait(this.storeWaitFraction);
   }
 
-  /** A link ended: its peer is not asked. */
-  noteClosed(peer: Peer): void {
-    this.forget((offer) => offer.peer === peer);
+  /** The link to a peer closed: it is not asked. */
+  notePeerClosed(peer: Peer): void {
+    this.removeOffers((offer) => offer.peer === peer);
   }
 
   stop(): void {
     this.cancelTimer?.();
   }
 
-  /** Waits for part of the bound, of which `spentMs` are over. */
-  private wait(share: number, spentMs = 0): void {
-    const {clock, random, configApplyMs} = this.sources;
-    const waitMs = configApplyMs() * share * (0.5 + random()) - spentMs;
+  /** Schedules the next request after a fraction of `configApplyMs`, less `elapsedMs`. */
+  private wait(fraction: number, elapsedMs = 0): void {
+    const {clock, random, configApplyMs} = this.options;
+    const waitMs = configApplyMs() * fraction * (0.5 + random()) - elapsedMs;
     this.cancelTimer = clock.after(waitMs, () => {
       this.cancelTimer = undefined;
-      this.askNext();
+      this.requestFromNextPeer();
     });
   }
 
-  private get ownAnswerShare(): number {
-    return this.sources.hasStore() ? SERVED_ANSWER_SHARE : OWN_ANSWER_SHARE;
+  private get storeWaitFraction(): number {
+    return this.options.isStoreAvailable()
+      ? CONNECTED_STORE_WAIT_FRACTION
+      : STORE_WAIT_FRACTION;
   }
 
-  private askNext(): void {
-    const {clock, version, configApplyMs} = this.sources;
-    this.forget((offer) => offer.version <= version());
+  private requestFromNextPeer(): void {
+    const {clock, version, configApplyMs} = this.options;
+    this.removeOffers((offer) => offer.version <= version());
     const [offer] = this.offers;
     if (offer === undefined) return;
-    // The store has its time for each version, also when they come in series.
-    const ownAnswerMs = configApplyMs() * this.ownAnswerShare;
-    const ageMs = clock.nowMs() - offer.heardAtMs;
-    if (ageMs < ownAnswerMs / 2 && version() > 0) {
-      this.wait(this.ownAnswerShare, ageMs);
+    // The wait for the store starts anew with each version of a series.
+    const storeWaitMs = configApplyMs() * this.storeWaitFraction;
+    const ageMs = clock.nowMs() - offer.receivedAtMs;
+    if (ageMs < storeWaitMs / 2 && version() > 0) {
+      this.wait(this.storeWaitFraction, ageMs);
       return;
     }
     this.offers.shift();
     offer.peer.send({type: 'configRequest'});
-    this.wait(NEXT_PEER_SHARE);
+    this.wait(PEER_WAIT_FRACTION);
   }
 
-  private forget(isUseless: (offer: Offer) => boolean): void {
-    const left = this.offers.filter((offer) => !isUseless(offer));
-    this.offers.splice(0, this.offers.length, ...left);
+  private removeOffers(shouldRemove: (offer: Offer) => boolean): void {
+    const remaining = this.offers.filter((offer) => !shouldRemove(offer));
+    this.offers.splice(0, this.offers.length, ...remaining);
   }
 }
--- a/packages/relay/src/peers/copyReservations.ts
+++ b/packages/relay/src/peers/copyReservations.ts
@@ -4,19 +4,22 @@
 import type {Peer} from './peerMesh.js';
 
 /**
- * Longest wait for a sidecar's word; a hop takes 2 ms at most. A sidecar that
- * does not answer holds up no move: the engine itself has the last word.
+ * Timeout for a sidecar's answer; one hop takes at most 2 ms. A move goes ahead without
+ * an answer, since the engine itself can still refuse the copy.
  */
-const ANSWER_WAIT_MS = 60;
+const ANSWER_TIMEOUT_MS = 60;
 
-/** Asks sidecars whether their engines can take a copy now. */
+/** Reserves room for copies at engines, by asking their sidecars. */
 export class CopyReservations implements CopyDestinations {
+  /** Callbacks for the answers, by request. */
   private readonly waiting = new Map<string, (isFree: boolean) => void>();
-  /** Sidecars that were asked, by request and endpoint. */
-  private readonly asked = new Map<string, Peer>();
+  /** Sidecars that were asked for a reservation, by request and endpoint. */
+  private readonly askedSidecars = new Map<string, Peer>();
 
   constructor(
-    private readonly reach: (endpoint: Endpoint) => Promise<Peer | undefined>,
+    private readonly connectToSidecar: (
+      endpoint: Endpoint,
+    ) => Promise<Peer | undefined>,
     private readonly clock: Clock,
   ) {}
 
@@ -25,16 +28,16 @@
     requestId: string,
     tokens: number,
   ): Promise<boolean> {
-    const sidecar = await this.reach(endpoint);
+    const sidecar = await this.connectToSidecar(endpoint);
     if (sidecar === undefined) return true;
-    this.asked.set(`${requestId} ${endpoint.id}`, sidecar);
+    this.askedSidecars.set(`${requestId} ${endpoint.id}`, sidecar);
     return new Promise((resolve) => {
       const finish = (isFree: boolean): void => {
         cancel();
         this.waiting.delete(requestId);
         resolve(isFree);
       };
-      const cancel = this.clock.after(ANSWER_WAIT_MS, () => finish(true));
+      const cancel = this.clock.after(ANSWER_TIMEOUT_MS, () => finish(true));
       this.waiting.set(requestId, finish);
       sidecar.send({type: 'copyAsk', requestId, tokens});
     });
@@ -42,8 +45,8 @@
 
   release(endpoint: Endpoint, requestId: string): void {
     const key = `${requestId} ${endpoint.id}`;
-    this.asked.get(key)?.send({type: 'copyDone', requestId});
-    this.asked.delete(key);
+    this.askedSidecars.get(key)?.send({type: 'copyDone', requestId});
+    this.askedSidecars.delete(key);
   }
 
   noteAnswer(requestId: string, isFree: boolean): void {
--- a/packages/relay/src/peers/entryPeers.ts
+++ b/packages/relay/src/peers/entryPeers.ts
@@ -10,57 +10,67 @@
 import type {EndpointAddress} from '../model/index.js';
 import type {RelayContext} from '../requests/relayContext.js';
 import type {ActiveRun, RunListener} from '../requests/runRegistry.js';
-import {BorrowedLinks} from './borrowedLinks.js';
-import {ConfigFetch} from './configFetch.js';
+import {CrossZoneLinks} from './borrowedLinks.js';
+import {PeerConfigFetcher} from './configFetch.js';
 import {CopyReservations} from './copyReservations.js';
-import {entriesToDial, farEnginesToDial, hasPartialView} from './linkPlan.js';
-import {LoadLooks} from './loadLooks.js';
+import {
+  crossZoneEnginesToDial,
+  entriesToDial,
+  hasPartialView,
+} from './linkPlan.js';
+import {LoadQueries} from './loadLooks.js';
 import type {AskedPrompt} from './loadLooks.js';
-import {MemberNews} from './memberNews.js';
+import {MembershipNotifier} from './memberNews.js';
 import type {Member} from './membership.js';
 import {MemberView} from './memberView.js';
 import {ownZoneLoads} from './ownZoneLoads.js';
-import {knownNews, passNewsOn} from './passedOnNews.js';
+import {broadcastUpdates, knownState} from './passedOnNews.js';
 import {PeerMesh} from './peerMesh.js';
 import type {Peer} from './peerMesh.js';
 import {PeerRole} from './peerMessages.js';
 import type {EngineLoadReport, PeerMessage} from './peerMessages.js';
-import {takeNews} from './receivedNews.js';
+import {applyUpdate} from './receivedNews.js';
 
-/** How often entries of other zones are told of this zone's engines. */
+/** How often the loads of this zone's engines are sent to entries of other zones. */
 const ZONE_LOAD_INTERVAL_MS = 400;
 
-/** Longest wait for a link to a sidecar of another zone; it opens in 10 ms. */
-const LINK_WAIT_MS = 60;
+/** Timeout for a link to a sidecar of another zone, which opens in 10 ms. */
+const LINK_TIMEOUT_MS = 60;
 const LINK_POLL_MS = 5;
 
-/** Changes of the fleet gather for this long: the store tells of many at once. */
+/**
+ * Delay for batching changes of the members before links are planned: the store
+ * delivers many at once.
+ */
 const PLAN_DELAY_MS = 100;
 
-/** Endpoints that are seen together are planned for together. */
-const FAR_PLAN_DELAY_MS = 20;
+/** Delay for batching new endpoints before cross-zone links are planned. */
+const CROSS_ZONE_PLAN_DELAY_MS = 20;
 
-/** A link to an entry that is no longer planned is kept this long: plans return. */
-const UNPLANNED_KEPT_MS = 10_000;
+/**
+ * How long a link to an entry is kept after it left the plan: entries often return to
+ * it.
+ */
+const UNPLANNED_LINK_TTL_MS = 10_000;
 
-/** The links of an entry: to the other entries and to sidecars. */
+/** Manages the links of an entry to other entries and to sidecars. */
 export class EntryPeers implements RunListener {
   private readonly mesh: PeerMesh;
   private readonly members: MemberView;
-  private readonly memberNews: MemberNews;
+  private readonly membershipNotifier: MembershipNotifier;
   /** Sidecars by the address of the endpoint beside them. */
   private readonly sidecars = new Map<string, Peer>();
-  /** Links to sidecars of other zones, for runs of this entry there. */
-  private readonly borrowed: BorrowedLinks;
-  /** Room that this entry asked for at engines that it copies runs to. */
+  /** Links that this entry dials to sidecars of other zones. */
+  private readonly crossZoneLinks: CrossZoneLinks;
+  /** Reservations at engines to which this entry copies runs. */
   readonly copies: CopyReservations;
-  private readonly looks: LoadLooks;
-  private cancelZoneLoad: () => void = () => {};
+  private readonly loadQueries: LoadQueries;
+  private cancelPeriodicWork: () => void = () => {};
   private cancelPlan: CancelTimer | undefined;
-  private cancelFarPlan: CancelTimer | undefined;
-  /** True once links follow from the members, and no longer from the seeds. */
-  private isPlanned = false;
-  private readonly configFetch: ConfigFetch;
+  private cancelCrossZonePlan: CancelTimer | undefined;
+  /** True once links are planned from the members, instead of the seeds. */
+  private hasPlannedLinks = false;
+  private readonly configFetcher: PeerConfigFetcher;
 
   constructor(
     private readonly context: RelayContext,
@@ -88,80 +98,90 @@
       log,
     );
     this.members = new MemberView((instance) => this.isLinkedTo(instance));
-    this.memberNews = new MemberNews(() => this.members.all, clock, random);
-    this.configFetch = new ConfigFetch({
+    this.membershipNotifier = new MembershipNotifier(
+      () => this.members.all,
+      clock,
+      random,
+    );
+    this.configFetcher = new PeerConfigFetcher({
       clock,
       random,
       version: () => config.version,
       configApplyMs: () => settings.configApplyMs,
-      hasStore: () => context.endpoints.storeContact.answersForMs !== undefined,
+      isStoreAvailable: () =>
+        context.endpoints.storeContact.answersForMs !== undefined,
     });
-    this.borrowed = new BorrowedLinks(context);
-    this.looks = new LoadLooks((endpoint) => this.sidecarOf(endpoint), clock);
+    this.crossZoneLinks = new CrossZoneLinks(context);
+    this.loadQueries = new LoadQueries(
+      (endpoint) => this.sidecarOf(endpoint),
+      clock,
+    );
     this.copies = new CopyReservations(
-      (endpoint) => this.reachSidecar(endpoint),
+      (endpoint) => this.connectToSidecar(endpoint),
       clock,
     );
     context.endpoints.onCandidate(() => {
-      this.cancelFarPlan ??= clock.after(FAR_PLAN_DELAY_MS, () => {
-        this.cancelFarPlan = undefined;
-        this.linkToFarEngines();
+      this.cancelCrossZonePlan ??= clock.after(CROSS_ZONE_PLAN_DELAY_MS, () => {
+        this.cancelCrossZonePlan = undefined;
+        this.linkToCrossZoneEngines();
       });
     });
-    passNewsOn(context, config, (news) => this.broadcastToEntries(news));
+    broadcastUpdates(context, config, (update) =>
+      this.broadcastToEntries(update),
+    );
   }
 
-  /** Entries that serve callers now, this one too. */
+  /** Number of entries in the fleet, including this one. */
   get entryCount(): number {
     return Math.max(1, this.members.size);
   }
 
-  /** Names of the entries that serve callers now. */
+  /** Names of the entries in the fleet. */
   get entryNames(): string[] {
     return this.members.all.map(({instance}) => instance);
   }
 
   start(): Server {
     for (const seed of this.context.settings.seeds) this.mesh.dial(seed);
-    this.scheduleZoneLoad();
+    this.schedulePeriodicWork();
     return this.mesh.listen(this.address);
   }
 
   stop(): void {
-    this.cancelZoneLoad();
+    this.cancelPeriodicWork();
     this.cancelPlan?.();
-    this.cancelFarPlan?.();
-    this.memberNews.stop();
-    this.configFetch.stop();
+    this.cancelCrossZonePlan?.();
+    this.membershipNotifier.stop();
+    this.configFetcher.stop();
     this.mesh.stop();
   }
 
-  /** Asks engines for their loads as of now; the prompt is counted there. */
+  /** Queries engines for their current loads; they count the prompt from then on. */
   askLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): Promise<void> {
-    return this.looks.ask(endpoints, prompt);
+    return this.loadQueries.query(endpoints, prompt);
   }
 
-  /** The prompt that was asked for is not sent to these engines. */
+  /** Tells queried engines that the prompt is not sent to them. */
   releaseLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): void {
-    this.looks.release(endpoints, prompt);
+    this.loadQueries.release(endpoints, prompt);
   }
 
   hasSidecar(endpoint: Endpoint): boolean {
     return this.sidecars.has(formatAddress(endpoint.record.address));
   }
 
-  /** Another entry registered itself in the store. */
+  /** An entry registered itself in the store. */
   noteMember(member: Member): void {
     if (this.members.noteRegistered(member)) this.handleFleetChange();
   }
 
   noteMemberGone(instance: string): void {
-    if (this.members.noteLapsed(instance)) this.handleFleetChange();
+    if (this.members.noteExpired(instance)) this.handleFleetChange();
   }
 
   private handleFleetChange(): void {
     this.context.retryBudgets.noteEntries();
-    this.memberNews.changed();
+    this.membershipNotifier.changed();
     this.cancelPlan ??= this.context.clock.after(PLAN_DELAY_MS, () => {
       this.cancelPlan = undefined;
       this.planLinks();
@@ -171,18 +191,24 @@
   private planLinks(): void {
     const {instanceName} = this.context.settings;
     const members = this.members.all;
-    // Until the store told of others, the seeds are the only way to them.
+    // Until the store has delivered other members, only the seeds are known.
     if (members.every(({instance}) => instance === instanceName)) return;
-    const dialled = entriesToDial(instanceName, members);
+    const planned = entriesToDial(instanceName, members);
     this.mesh.retain(
-      [...dialled.map(({address}) => address), ...this.borrowed.addresses],
-      // All start with links to the seeds, which cannot carry the whole fleet's.
-      this.isPlanned ? UNPLANNED_KEPT_MS : 0,
+      [
+        ...planned.map(({address}) => address),
+        ...this.crossZoneLinks.addresses,
+      ],
+      // Links to seeds end at once: every entry starts with them, too many for a seed.
+      this.hasPlannedLinks ? UNPLANNED_LINK_TTL_MS : 0,
     );
-    this.isPlanned = true;
+    this.hasPlannedLinks = true;
   }
 
-  /** True for this entry itself too: it is there, whatever the store says. */
+  /**
+   * True for this entry itself too, so that it stays a member if its registration
+   * expires.
+   */
   private isLinkedTo(instance: string): boolean {
     if (instance === this.context.settings.instanceName) return true;
     for (const {hello} of this.mesh.peers) {
@@ -194,8 +220,8 @@
   arrived(run: ActiveRun, endpoint: Endpoint): void {
     const {requestId, promptTokens, expectedOutputTokens} = run;
     const sidecar = this.sidecarOf(endpoint);
-    // It is told of the run when the link opens.
-    if (sidecar === undefined) this.borrowLink(endpoint);
+    // When the link opens, the sidecar is sent all runs at its engine.
+    if (sidecar === undefined) this.dialCrossZoneSidecar(endpoint);
     sidecar?.send({
       type: 'runStarted',
       requestId,
@@ -214,41 +240,43 @@
     return this.sidecars.get(formatAddress(endpoint.record.address));
   }
 
-  /** The sidecar of an engine in another zone is dialled when it is needed. */
-  private borrowLink(endpoint: Endpoint): void {
+  /** Dials the sidecar of an engine in another zone, or marks the link to it as used. */
+  private dialCrossZoneSidecar(endpoint: Endpoint): void {
     if (!hasPartialView(this.entryCount)) return;
-    const address = this.borrowed.take(endpoint);
+    const address = this.crossZoneLinks.acquire(endpoint);
     if (address !== undefined) this.mesh.dial(address);
   }
 
-  /** Keeps the planned links to sidecars of other zones. */
-  private linkToFarEngines(): void {
+  /** Opens the planned links to sidecars of other zones, and keeps them from idling out. */
+  private linkToCrossZoneEngines(): void {
     const {context, config} = this;
     const {instanceName, zone} = context.settings;
     if (!context.switches.farLinks || !hasPartialView(this.entryCount)) return;
-    const far = [...context.endpoints.all()].filter(
+    const crossZoneEngines = [...context.endpoints.all()].filter(
       ({record, isCandidate}) =>
         isCandidate &&
         record.zone !== zone &&
         config.current?.findService(record.service)?.engine !== undefined,
     );
-    const chosen = farEnginesToDial(
+    const plannedIds = crossZoneEnginesToDial(
       instanceName,
-      far.map(({id}) => id),
+      crossZoneEngines.map(({id}) => id),
     );
-    for (const endpoint of far) {
-      if (chosen.has(endpoint.id)) this.borrowLink(endpoint);
+    for (const endpoint of crossZoneEngines) {
+      if (plannedIds.has(endpoint.id)) this.dialCrossZoneSidecar(endpoint);
     }
   }
 
-  /** The sidecar of an engine, if a link to it is open or opens soon. */
-  private async reachSidecar(endpoint: Endpoint): Promise<Peer | undefined> {
+  /** Resolves with the sidecar of an engine if a link to it is open or opens in time. */
+  private async connectToSidecar(
+    endpoint: Endpoint,
+  ): Promise<Peer | undefined> {
     const {clock} = this.context;
     const known = this.sidecarOf(endpoint);
     if (known !== undefined) return known;
-    this.borrowLink(endpoint);
-    if (!this.borrowed.has(endpoint)) return undefined;
-    const untilMs = clock.nowMs() + LINK_WAIT_MS;
+    this.dialCrossZoneSidecar(endpoint);
+    if (!this.crossZoneLinks.has(endpoint)) return undefined;
+    const untilMs = clock.nowMs() + LINK_TIMEOUT_MS;
     while (clock.nowMs() < untilMs) {
       await sleep(clock, LINK_POLL_MS);
       const opened = this.sidecarOf(endpoint);
@@ -260,11 +288,11 @@
   private handleOpened(peer: Peer): void {
     const {hello} = peer;
     if (hello.role === PeerRole.ENTRY) {
-      for (const news of knownNews(this.context, this.config)) peer.send(news);
+      for (const item of knownState(this.context, this.config)) peer.send(item);
       return;
     }
     if (hello.endpointAddress === undefined) return;
-    this.memberNews.opened(peer);
+    this.membershipNotifier.opened(peer);
     this.sidecars.set(hello.endpointAddress, peer);
     const endpoint = this.context.endpoints.atAddress(hello.endpointAddress);
     if (endpoint === undefined) return;
@@ -275,33 +303,36 @@
 
   private handleClosed(peer: Peer): void {
     const {endpointAddress, instance} = peer.hello;
-    this.configFetch.noteClosed(peer);
+    this.configFetcher.notePeerClosed(peer);
     if (endpointAddress === undefined) {
       const {retryBudgets} = this.context;
       if (!this.isLinkedTo(instance)) retryBudgets.noteUnheard(instance);
-      if (this.members.noteUnlinked(instance)) this.handleFleetChange();
+      if (this.members.noteLinkClosed(instance)) this.handleFleetChange();
       return;
     }
-    this.memberNews.closed(peer);
+    this.membershipNotifier.closed(peer);
     if (this.sidecars.get(endpointAddress) === peer) {
       this.sidecars.delete(endpointAddress);
     }
   }
 
-  /** The first word of a life names it: it is not one of the life before. */
-  private noteHeard({hello}: Peer, {type}: PeerMessage): void {
+  /**
+   * Records that a message was received. A `retryUse` is not recorded here, as the first
+   * one identifies a new incarnation of the sender.
+   */
+  private noteMessageReceived({hello}: Peer, {type}: PeerMessage): void {
     if (type === 'retryUse') return;
     this.context.retryBudgets.noteHeard(hello.instance);
   }
 
   private handleMessage(peer: Peer, message: PeerMessage): void {
-    this.noteHeard(peer, message);
+    this.noteMessageReceived(peer, message);
     switch (message.type) {
       case 'configNotice':
-        this.configFetch.noteOffer(peer, message.version);
+        this.configFetcher.noteOffer(peer, message.version);
         return;
       case 'configRequest': {
-        const bytes = this.config.encoded;
+        const bytes = this.config.encodedConfig;
         if (bytes !== undefined) peer.send({type: 'configBody', bytes});
         return;
       }
@@ -312,7 +343,7 @@
         this.handleEngineLoad(peer, message);
         return;
       case 'moveGrant':
-        void this.carryOut(peer, message.requestId);
+        void this.moveRun(peer, message.requestId);
         return;
       case 'endpointDoubted':
       case 'endpointLimit':
@@ -321,7 +352,7 @@
       case 'retryUse':
       case 'formerRetryUse':
       case 'zoneLoad':
-        takeNews(this.context, peer, message);
+        applyUpdate(this.context, peer, message);
         return;
       case 'copyAnswer':
         this.copies.noteAnswer(message.requestId, message.isFree);
@@ -350,32 +381,32 @@
     if (endpoint === undefined) return;
     if (!endpoints.noteStart(endpoint, report.startedAtMs)) return;
     endpoint.noteReport(report, clock.nowMs());
-    this.looks.noteLoad(endpoint);
+    this.loadQueries.noteLoad(endpoint);
     this.context.admissionOf(endpoint.record.service).poke();
     if (report.leavesInMs === undefined) return;
     endpoints.noteLeaving(endpoint, LeaveSource.REPORT, report.leavesInMs);
   }
 
-  private async carryOut(peer: Peer, requestId: string): Promise<void> {
+  private async moveRun(peer: Peer, requestId: string): Promise<void> {
     const end = await this.evacuator().move(requestId);
     const isMoved = end.kind === 'moved';
     peer.send({type: 'moveDone', requestId, isMoved});
   }
 
-  private scheduleZoneLoad(): void {
-    this.cancelZoneLoad = this.context.clock.after(
+  private schedulePeriodicWork(): void {
+    this.cancelPeriodicWork = this.context.clock.after(
       ZONE_LOAD_INTERVAL_MS,
       () => {
-        this.tellZoneLoads();
-        this.linkToFarEngines();
-        for (const idle of this.borrowed.giveBackIdle()) this.mesh.drop(idle);
-        this.scheduleZoneLoad();
+        this.sendZoneLoads();
+        this.linkToCrossZoneEngines();
+        for (const idle of this.crossZoneLinks.popIdle()) this.mesh.drop(idle);
+        this.schedulePeriodicWork();
       },
     );
   }
 
-  /** Entries of other zones learn how full the engines of this one are. */
-  private tellZoneLoads(): void {
+  /** Sends the loads of this zone's engines to entries of other zones. */
+  private sendZoneLoads(): void {
     const {switches} = this.context;
     if (!switches.zoneLoads || !hasPartialView(this.entryCount)) return;
     const {zone} = this.context.settings;
--- a/packages/relay/src/peers/linkPlan.ts
+++ b/packages/relay/src/peers/linkPlan.ts
@@ -3,32 +3,36 @@
 import type {Member} from './membership.js';
 
 /**
- * Entries that all link to one another, and to all sidecars. Beyond this the
- * number of links of one process must not grow with the fleet.
+ * Maximum number of entries that form a full mesh and link to all sidecars. In larger
+ * fleets the number of links of one process must not grow with the fleet.
  */
-const MOST_IN_FULL_MESH = 12;
+const MAX_FULL_MESH_ENTRIES = 12;
 
 /**
- * Engines of other zones whose sidecars an entry links to. Their loads are then known
- * for each, and not only as the mean of their zone: without this the entries of a zone
- * whose own engines are busy would all take the same unknown one. Enough to draw engines to ask from; the links
- * of one entry do not grow with the fleet.
+ * Maximum number of engines of other zones whose sidecars an entry links to. The entry
+ * then knows the load of each, and not only the mean of their zone. Without this, the
+ * entries of a zone whose own engines are busy would all choose the same engine of unknown
+ * load. Large enough to sample engines for load queries, and independent of the fleet's
+ * size, like the other links of an entry.
  */
-const MOST_FAR_ENGINES = 24;
+const MAX_CROSS_ZONE_ENGINES = 24;
 
-/** True when sidecars of other zones do not report to an entry. */
+/** True in fleets where sidecars report to entries of their own zone only. */
 export function hasPartialView(entryCount: number): boolean {
-  return entryCount > MOST_IN_FULL_MESH;
+  return entryCount > MAX_FULL_MESH_ENTRIES;
 }
 
-/** The entries that an entry dials itself; the others dial it, or none does. */
+/**
+ * The entries that an entry dials. The links to others are dialled from there, if at
+ * all.
+ */
 export function entriesToDial(
   ownName: string,
   members: readonly Member[],
 ): Member[] {
   const others = members.filter(({instance}) => instance !== ownName);
-  // One of each two entries dials, so that they share one link.
-  if (others.length < MOST_IN_FULL_MESH) {
+  // Only one of two entries dials, so that they share one link.
+  if (others.length < MAX_FULL_MESH_ENTRIES) {
     return others.filter(({instance}) => instance < ownName);
   }
   const dialled = nextInRings(
@@ -39,25 +43,29 @@
 }
 
 /**
- * The entries that a sidecar links to: all of a small fleet, else those of its
- * own availability zone, which send to its engine first.
+ * The entries that a sidecar links to: all of a small fleet, otherwise those of its own
+ * availability zone, which prefer its engine.
  */
 export function entriesOfSidecar<T extends {readonly zone: string}>(
   zone: string,
   members: readonly T[],
 ): readonly T[] {
   if (!hasPartialView(members.length)) return members;
-  const near = members.filter((member) => member.zone === zone);
-  return near.length > 0 ? near : members.slice(0, MOST_IN_FULL_MESH);
+  const sameZoneMembers = members.filter((member) => member.zone === zone);
+  return sameZoneMembers.length > 0
+    ? sameZoneMembers
+    : members.slice(0, MAX_FULL_MESH_ENTRIES);
 }
 
 /**
- * The engines of other zones whose sidecars an entry links to, by id: each entry has
- * its own, and keeps them while others come and go.
+ * The ids of the engines of other zones whose sidecars an entry links to. Rendezvous
+ * hashing gives each entry its own selection, which is stable as engines come and go.
  */
-export function farEnginesToDial(
+export function crossZoneEnginesToDial(
   ownName: string,
   endpointIds: readonly string[],
 ): ReadonlySet<string> {
-  return new Set(rendezvous(ownName, endpointIds).slice(0, MOST_FAR_ENGINES));
+  return new Set(
+    rendezvous(ownName, endpointIds).slice(0, MAX_CROSS_ZONE_ENGINES),
+  );
 }
--- a/packages/relay/src/peers/loadLooks.ts
+++ b/packages/relay/src/peers/loadLooks.ts
@@ -3,20 +3,20 @@
 import type {Peer} from './peerMesh.js';
 
 /**
- * Longest wait for the loads that were asked for: ten times the way there and back
- * between zones (2 ms), so that a busy process may answer and a dead one costs little.
+ * Timeout of a load query: ten round trips between zones (2 ms), so that a busy process
+ * can answer and a dead one causes little delay.
  */
-const ANSWER_WAIT_MS = 20;
+const ANSWER_TIMEOUT_MS = 20;
 
-/** A prompt that is to be sent to one of the engines that are asked. */
+/** A prompt that will be sent to one of the queried engines. */
 export interface AskedPrompt {
   readonly requestId: string;
   readonly promptTokens: number;
 }
 
-/** Asks sidecars how busy their engines are now. */
-export class LoadLooks {
-  /** Those who wait for a load, by endpoint. */
+/** Queries sidecars for the current loads of their engines. */
+export class LoadQueries {
+  /** Callbacks of the pending queries, by endpoint. */
   private readonly waiting = new Map<Endpoint, Set<() => void>>();
 
   constructor(
@@ -24,41 +24,41 @@
     private readonly clock: Clock,
   ) {}
 
-  /** A load came, asked for or not. */
+  /** Completes the pending queries of an endpoint, whose load was received. */
   noteLoad(endpoint: Endpoint): void {
     const waiting = this.waiting.get(endpoint);
     if (waiting === undefined) return;
     this.waiting.delete(endpoint);
-    for (const come of waiting) come();
+    for (const finishQuery of waiting) finishQuery();
   }
 
   /**
-   * Resolves once the loads of all these that can be asked are as of now, or were
-   * waited for long enough. Those without a link to their sidecars stay as they are.
+   * Resolves once the current loads of these endpoints were received, or the timeout has
+   * passed. Endpoints without a link to their sidecars are skipped.
    */
-  async ask(
+  async query(
     endpoints: readonly Endpoint[],
     prompt: AskedPrompt,
   ): Promise<void> {
-    const asked = endpoints.flatMap((endpoint) => {
+    const targets = endpoints.flatMap((endpoint) => {
       const sidecar = this.sidecarOf(endpoint);
       return sidecar === undefined ? [] : [{endpoint, sidecar}];
     });
     await Promise.all(
-      asked.map(({endpoint, sidecar}) =>
-        this.askOne(endpoint, sidecar, prompt),
+      targets.map(({endpoint, sidecar}) =>
+        this.querySidecar(endpoint, sidecar, prompt),
       ),
     );
   }
 
-  /** Engines that were asked need not count the prompt any longer. */
+  /** Tells queried engines to stop counting the prompt. */
   release(endpoints: readonly Endpoint[], {requestId}: AskedPrompt): void {
     for (const endpoint of endpoints) {
       this.sidecarOf(endpoint)?.send({type: 'loadRelease', requestId});
     }
   }
 
-  private askOne(
+  private querySidecar(
     endpoint: Endpoint,
     sidecar: Peer,
     {requestId, promptTokens}: AskedPrompt,
@@ -71,7 +71,7 @@
         waiting.delete(finish);
         resolve();
       };
-      const cancel = this.clock.after(ANSWER_WAIT_MS, finish);
+      const cancel = this.clock.after(ANSWER_TIMEOUT_MS, finish);
       waiting.add(finish);
       sidecar.send({type: 'loadAsk', requestId, promptTokens});
     });
--- a/packages/relay/src/peers/memberNews.ts
+++ b/packages/relay/src/peers/memberNews.ts
@@ -6,28 +6,28 @@
 import type {EntryPlace} from './peerMessages.js';
 
 /**
- * Changes gather for this long, and up to half as long again, before a sidecar is
- * told: entries come and go in groups, and a sidecar has many links besides.
+ * Delay for batching changes before a sidecar is notified, plus up to half of it as
+ * jitter: entries come and go in groups, and a sidecar has links to many entries.
  */
-const GATHER_MS = 1_000;
+const BATCH_DELAY_MS = 1_000;
 
-/** What one sidecar was told, as zones by address. */
-interface Told {
-  readonly places: Map<string, string>;
+/** A sidecar's state: the entries sent to it so far, as zones by address. */
+interface Subscriber {
+  readonly zoneByAddress: Map<string, string>;
   cancelTimer: CancelTimer | undefined;
 }
 
 /**
- * Tells sidecars of the entries that they should link to: all of them when a link
- * opens, and afterwards what has changed.
+ * Notifies sidecars of the entries that they should link to: all of them when a link
+ * opens, and only the changes after that.
  *
- * Answers the pattern of a broadcast storm: an entry's own link carries its callers'
- * streams, and may be small. The whole list at each change to each sidecar grows with
- * entries, sidecars and changes multiplied, and every stream of the entry waits behind
- * it; what has changed grows with the changes alone.
+ * This avoids a broadcast storm. An entry's network link carries its callers' streams and
+ * may be slow. Sending the whole list to each sidecar at each change costs entries times
+ * sidecars times changes, and delays every stream of the entry; sending only the
+ * differences grows with the changes alone.
  */
-export class MemberNews {
-  private readonly toldTo = new Map<Peer, Told>();
+export class MembershipNotifier {
+  private readonly subscribers = new Map<Peer, Subscriber>();
 
   constructor(
     private readonly members: () => readonly Member[],
@@ -35,58 +35,63 @@
     private readonly random: Random,
   ) {}
 
-  /** A link to a sidecar opened. */
+  /** Sends all entries to a sidecar whose link opened. */
   opened(sidecar: Peer): void {
-    this.toldTo.set(sidecar, {places: new Map(), cancelTimer: undefined});
-    this.tell(sidecar);
+    this.subscribers.set(sidecar, {
+      zoneByAddress: new Map(),
+      cancelTimer: undefined,
+    });
+    this.notify(sidecar);
   }
 
   closed(sidecar: Peer): void {
-    this.toldTo.get(sidecar)?.cancelTimer?.();
-    this.toldTo.delete(sidecar);
+    this.subscribers.get(sidecar)?.cancelTimer?.();
+    this.subscribers.delete(sidecar);
   }
 
-  /** Entries came or went. */
+  /** Schedules notifications, since entries were added or removed. */
   changed(): void {
-    for (const [sidecar, told] of this.toldTo) {
-      if (told.cancelTimer !== undefined) continue;
-      const waitMs = GATHER_MS * (1 + this.random() / 2);
-      told.cancelTimer = this.clock.after(waitMs, () => {
-        told.cancelTimer = undefined;
-        this.tell(sidecar);
+    for (const [sidecar, subscriber] of this.subscribers) {
+      if (subscriber.cancelTimer !== undefined) continue;
+      const waitMs = BATCH_DELAY_MS * (1 + this.random() / 2);
+      subscriber.cancelTimer = this.clock.after(waitMs, () => {
+        subscriber.cancelTimer = undefined;
+        this.notify(sidecar);
       });
     }
   }
 
   stop(): void {
-    for (const {cancelTimer} of this.toldTo.values()) cancelTimer?.();
-    this.toldTo.clear();
+    for (const {cancelTimer} of this.subscribers.values()) cancelTimer?.();
+    this.subscribers.clear();
   }
 
-  private tell(sidecar: Peer): void {
-    const told = this.toldTo.get(sidecar);
-    if (told === undefined) return;
+  private notify(sidecar: Peer): void {
+    const subscriber = this.subscribers.get(sidecar);
+    if (subscriber === undefined) return;
     const members = this.members();
-    const places = placesFor(sidecar.hello.zone, members);
+    const zoneByAddress = zoneByAddressFor(sidecar.hello.zone, members);
     const entries: EntryPlace[] = [];
-    for (const [address, zone] of places) {
-      if (!told.places.has(address)) entries.push({address, zone});
-      told.places.set(address, zone);
+    for (const [address, zone] of zoneByAddress) {
+      if (!subscriber.zoneByAddress.has(address)) entries.push({address, zone});
+      subscriber.zoneByAddress.set(address, zone);
     }
-    const gone = [...told.places.keys()].filter((name) => !places.has(name));
-    for (const address of gone) told.places.delete(address);
+    const gone = [...subscriber.zoneByAddress.keys()].filter(
+      (name) => !zoneByAddress.has(name),
+    );
+    for (const address of gone) subscriber.zoneByAddress.delete(address);
     if (entries.length === 0 && gone.length === 0) return;
     const isZoned = hasPartialView(members.length);
     sidecar.send({type: 'members', entries, gone, isZoned});
   }
 }
 
-function placesFor(
+function zoneByAddressFor(
   zone: string,
   members: readonly Member[],
 ): ReadonlyMap<string, string> {
-  const chosen = entriesOfSidecar(zone, members);
+  const entries = entriesOfSidecar(zone, members);
   return new Map(
-    chosen.map((member) => [formatAddress(member.address), member.zone]),
+    entries.map((member) => [formatAddress(member.address), member.zone]),
   );
 }
--- a/packages/relay/src/peers/memberView.ts
+++ b/packages/relay/src/peers/memberView.ts
@@ -1,25 +1,25 @@
 import type {Member} from './membership.js';
 
-/** Whether a link to an entry is open. */
-export type LinkCheck = (instance: string) => boolean;
+/** Returns whether a link to an entry is open. */
+export type IsLinked = (instance: string) => boolean;
 
-interface Known {
+interface TrackedMember {
   readonly member: Member;
-  /** False once the store has dropped its registration. */
+  /** False once its registration in the store has expired. */
   isRegistered: boolean;
 }
 
 /**
- * The entries of the fleet, as the store and the own links show them. A registration
- * lapses when its entry is cut from the store for longer than its lease; an entry that
- * can be reached over an open link is still there, and stays a member until the link
- * ends. Else entries that the store alone turns away would cost the fleet two
- * rounds of new links: one when they lapse and one when they are back.
+ * Tracks the entries of the fleet, by their registrations and the open links to them. A
+ * registration expires when its entry cannot reach the store for longer than its lease.
+ * Such an entry stays a member while a link to it is open. Otherwise the fleet would
+ * replan its links twice for entries that only the store rejects: when their
+ * registrations expire and when they are renewed.
  */
 export class MemberView {
-  private readonly known = new Map<string, Known>();
+  private readonly known = new Map<string, TrackedMember>();
 
-  constructor(private readonly isLinked: LinkCheck) {}
+  constructor(private readonly isLinked: IsLinked) {}
 
   get size(): number {
     return this.known.size;
@@ -29,35 +29,35 @@
     return [...this.known.values()].map(({member}) => member);
   }
 
-  /** An entry registered itself; true when that changes who is there. */
+  /** An entry registered itself; returns whether that changes the members. */
   noteRegistered(member: Member): boolean {
     const before = this.known.get(member.instance)?.member;
     this.known.set(member.instance, {member, isRegistered: true});
-    return before === undefined || !isSamePlace(before, member);
+    return before === undefined || !hasSameLocation(before, member);
   }
 
-  /** The store dropped a registration; true when that changes who is there. */
-  noteLapsed(instance: string): boolean {
+  /** A registration expired; returns whether that changes the members. */
+  noteExpired(instance: string): boolean {
     const known = this.known.get(instance);
     if (known === undefined) return false;
     known.isRegistered = false;
-    return this.dropIfGone(instance, known);
+    return this.removeIfUnreachable(instance, known);
   }
 
-  /** A link to an entry ended; true when that changes who is there. */
-  noteUnlinked(instance: string): boolean {
+  /** A link to an entry closed; returns whether that changes the members. */
+  noteLinkClosed(instance: string): boolean {
     const known = this.known.get(instance);
     if (known === undefined || known.isRegistered) return false;
-    return this.dropIfGone(instance, known);
+    return this.removeIfUnreachable(instance, known);
   }
 
-  private dropIfGone(instance: string, known: Known): boolean {
+  private removeIfUnreachable(instance: string, known: TrackedMember): boolean {
     if (known.isRegistered || this.isLinked(instance)) return false;
     return this.known.delete(instance);
   }
 }
 
-function isSamePlace(a: Member, b: Member): boolean {
+function hasSameLocation(a: Member, b: Member): boolean {
   return (
     a.zone === b.zone &&
     a.address.host === b.address.host &&
--- a/packages/relay/src/peers/membership.ts
+++ b/packages/relay/src/peers/membership.ts
@@ -6,16 +6,16 @@
 import type {EndpointAddress} from '../model/index.js';
 import type {MetadataStore, StoreItem} from '../ports.js';
 
-/** Life of a registration without renewal: outlasts a short outage. */
+/** Lifetime of a registration without renewal: outlasts a short outage. */
 const LEASE_TTL_MS = 15_000;
 
-/** A third of the life: two renewals may fail. */
+/** A third of the lease's TTL: two renewals may fail. */
 const RENEWAL_INTERVAL_MS = 5_000;
 
-/** Pause after a registration that failed. */
-const RETRY_INTERVAL_MS = 500;
+/** Pause after a failed registration. */
+const REGISTRATION_RETRY_MS = 500;
 
-/** One entry as it registered itself. */
+/** The registration of an entry. */
 export interface Member {
   readonly instance: string;
   readonly address: EndpointAddress;
@@ -23,7 +23,7 @@
   readonly zone: string;
 }
 
-/** Decodes a registration; undefined when it is not one. */
+/** Parses a registration; undefined if it is malformed. */
 export function toMember(item: StoreItem, prefix: string): Member | undefined {
   const instance = memberName(item.key, prefix);
   const [addressText, zone, ...rest] = item.value.toString('utf8').split(' ');
@@ -34,7 +34,7 @@
   return {instance, address, zone};
 }
 
-/** The entry that a key below `prefix` stands for. */
+/** The name of the entry that is registered under a key below `prefix`. */
 export function memberName(key: string, prefix: string): string {
   return key.slice(prefix.length);
 }
@@ -55,7 +55,7 @@
         ? await register(member, prefix, store, log)
         : await renew(leaseId, store, log);
     const waitMs =
-      leaseId === undefined ? RETRY_INTERVAL_MS : RENEWAL_INTERVAL_MS;
+      leaseId === undefined ? REGISTRATION_RETRY_MS : RENEWAL_INTERVAL_MS;
     await sleep(clock, waitMs, signal);
   }
   if (leaseId !== undefined) await store.endLease(leaseId);
@@ -86,7 +86,7 @@
   log: DecisionLogger,
 ): Promise<number | undefined> {
   const renewed = await store.renewLease(leaseId);
-  // Only a lease that is known to have ended is replaced.
+  // After other failures the lease may still exist: it is not replaced but renewed again.
   if (renewed.kind !== 'missing') return leaseId;
   log.warn('member.leaseLost', {lease: leaseId});
   return undefined;
--- a/packages/relay/src/peers/ownZoneLoads.ts
+++ b/packages/relay/src/peers/ownZoneLoads.ts
@@ -4,7 +4,7 @@
 import {engineUseContext} from '../requests/relayContext.js';
 import type {RelayContext} from '../requests/relayContext.js';
 
-/** Mean load of the engines of this zone that report here, by service. */
+/** The mean load, by service, of the engines in this zone that report to this entry. */
 export function ownZoneLoads(context: RelayContext): ZoneLoad[] {
   const {zone} = context.settings;
   const useContext = engineUseContext(context);
@@ -16,9 +16,9 @@
     const {service} = endpoint.record;
     uses.set(service, [...(uses.get(service) ?? []), use]);
   }
-  return [...uses].map(([service, ofService]) => ({
+  return [...uses].map(([service, serviceUses]) => ({
     service,
     zone,
-    ...meanUse(ofService)!,
+    ...meanUse(serviceUses)!,
   }));
 }
--- a/packages/relay/src/peers/passedOnNews.ts
+++ b/packages/relay/src/peers/passedOnNews.ts
@@ -4,8 +4,8 @@
 import type {RelayContext} from '../requests/relayContext.js';
 import type {PeerMessage} from './peerMessages.js';
 
-/** What news is taken from. */
-type NewsSources = Pick<
+/** State whose changes are broadcast. */
+type UpdateSources = Pick<
   RelayContext,
   | 'endpoints'
   | 'statements'
@@ -16,11 +16,11 @@
 >;
 
 /**
- * Calls `broadcast` with each piece of news for other entries. What a peer told is passed on
- * like what this entry saw itself, but for what it told of itself alone: news ends where it is
- * known, so that it spreads over all links once.
+ * Calls `broadcast` with each state update for other entries. Updates received from peers
+ * are forwarded like local ones, except for those about the peer itself. Known updates are
+ * not forwarded again, so that each crosses every link once.
  */
-export function passNewsOn(
+export function broadcastUpdates(
   {
     endpoints,
     statements,
@@ -28,7 +28,7 @@
     suspicions,
     retryBudgets,
     switches,
-  }: NewsSources,
+  }: UpdateSources,
   config: ConfigKeeper,
   broadcast: (message: PeerMessage) => void,
 ): void {
@@ -40,8 +40,8 @@
     const {startedAtMs} = record;
     broadcast({type: 'endpointDoubted', endpointId, startedAtMs, forMs});
   });
-  statements.onLimitToTell((endpoint, told) => {
-    broadcast(limitNotice(endpoint, told));
+  statements.onLimitToTell((endpoint, limit) => {
+    broadcast(limitNotice(endpoint, limit));
   });
   evacuations.onChange((status) => {
     broadcast({type: 'zoneStatus', ...status});
@@ -49,26 +49,28 @@
   suspicions.onChange((suspicion) => {
     broadcast({type: 'suspicion', ...suspicion});
   });
-  retryBudgets.onNews((told) => {
-    broadcast({type: 'retryUse', ...told});
+  retryBudgets.onNews((use) => {
+    broadcast({type: 'retryUse', ...use});
   });
 }
 
-/** What an entry is told that has just linked to this one. */
-export function knownNews(
+/** The known state, which is sent to an entry when a link to it opens. */
+export function knownState(
   {
     statements,
     evacuations,
     suspicions,
     retryBudgets,
-  }: Omit<NewsSources, 'endpoints' | 'switches'>,
+  }: Omit<UpdateSources, 'endpoints' | 'switches'>,
   config: ConfigKeeper,
 ): PeerMessage[] {
   return [
-    // First, as it names the life of the process that all else comes from.
+    // First, as it identifies the sender's incarnation, to which the other messages belong.
     {type: 'retryUse', ...retryBudgets.ownUse},
     {type: 'configNotice', version: config.version},
-    ...statements.limits.map(([endpoint, told]) => limitNotice(endpoint, told)),
+    ...statements.limits.map(([endpoint, limit]) =>
+      limitNotice(endpoint, limit),
+    ),
     ...evacuations.statuses.map(
       (status) => ({type: 'zoneStatus', ...status}) as const,
     ),
@@ -78,7 +80,7 @@
   ];
 }
 
-function limitNotice({id, record}: Endpoint, told: ToldLimit): PeerMessage {
+function limitNotice({id, record}: Endpoint, limit: ToldLimit): PeerMessage {
   const {startedAtMs} = record;
-  return {type: 'endpointLimit', endpointId: id, startedAtMs, ...told};
+  return {type: 'endpointLimit', endpointId: id, startedAtMs, ...limit};
 }
--- a/packages/relay/src/peers/peerLink.ts
+++ b/packages/relay/src/peers/peerLink.ts
@@ -2,33 +2,36 @@
 import {WebSocket} from 'ws';
 import type {RawData} from 'ws';
 import type {Clock} from '@lilacledge/shared';
-import {toPeerMessage} from './peerMessages.js';
+import {parsePeerMessage} from './peerMessages.js';
 import type {PeerMessage} from './peerMessages.js';
 
-/** A sign of life is sent when nothing else was for this long. */
-const ALIVE_INTERVAL_MS = 1_000;
+/** A heartbeat is sent when no other message was sent for this long. */
+const HEARTBEAT_INTERVAL_MS = 1_000;
 
-/** A link that is silent for this long is given up; three signs were lost. */
-const SILENCE_LIMIT_MS = 3_500;
+/** A link is closed when nothing was received for this long: three heartbeats were lost. */
+const SILENCE_TIMEOUT_MS = 3_500;
 
-/** A peer that reads too slowly is cut off; it asks again for what it misses. */
+/**
+ * A link is closed when this much is buffered for a slow peer, which recovers what it
+ * missed after reconnecting.
+ */
 const MAX_BUFFERED_BYTES = 4 * 1024 * 1024;
 
-/** Largest frame: a configuration of the store's largest value. */
+/** Maximum frame size; fits a configuration of the maximum size of a store value. */
 export const MAX_FRAME_BYTES = 2 * 1024 * 1024;
 
-// Frames stand for themselves, so that one that is lost spoils no other.
+// Without records each frame is self-contained: decoding does not depend on earlier frames.
 const packr = new Packr({useRecords: false});
 
-/** What a link tells its owner. */
+/** Callbacks of a link. */
 export interface PeerLinkEvents {
   message(message: PeerMessage): void;
   closed(cause: string): void;
 }
 
-/** A WebSocket to another process of the relay. */
+/** A WebSocket connection to another process of the relay, kept alive by heartbeats. */
 export class PeerLink {
-  private lastHeardMs: number;
+  private lastReceivedMs: number;
   private lastSentMs: number;
   private isClosed = false;
   private cancelTimer: () => void = () => {};
@@ -38,13 +41,13 @@
     private readonly events: PeerLinkEvents,
     private readonly clock: Clock,
   ) {
-    this.lastHeardMs = clock.nowMs();
+    this.lastReceivedMs = clock.nowMs();
     this.lastSentMs = clock.nowMs();
     socket.binaryType = 'nodebuffer';
     socket.on('message', (data) => this.receive(data));
     socket.on('close', (code) => this.close(`closed with code ${code}`));
     socket.on('error', (error) => this.close(error.message));
-    this.schedule();
+    this.scheduleHeartbeat();
   }
 
   send(message: PeerMessage): void {
@@ -57,7 +60,7 @@
     this.socket.send(packr.pack(message));
   }
 
-  /** Ends the link at once. */
+  /** Closes the link at once, without a closing handshake. */
   close(cause: string): void {
     if (this.isClosed) return;
     this.isClosed = true;
@@ -67,7 +70,7 @@
   }
 
   private receive(data: RawData): void {
-    this.lastHeardMs = this.clock.nowMs();
+    this.lastReceivedMs = this.clock.nowMs();
     const message = decode(data as Buffer);
     if (message === undefined) {
       this.close('malformed frame');
@@ -76,26 +79,26 @@
     this.events.message(message);
   }
 
-  private schedule(): void {
-    this.cancelTimer = this.clock.after(ALIVE_INTERVAL_MS / 2, () => {
+  private scheduleHeartbeat(): void {
+    this.cancelTimer = this.clock.after(HEARTBEAT_INTERVAL_MS / 2, () => {
       const nowMs = this.clock.nowMs();
-      if (nowMs - this.lastHeardMs > SILENCE_LIMIT_MS) {
+      if (nowMs - this.lastReceivedMs > SILENCE_TIMEOUT_MS) {
         this.close('silent');
         return;
       }
-      if (nowMs - this.lastSentMs >= ALIVE_INTERVAL_MS) {
+      if (nowMs - this.lastSentMs >= HEARTBEAT_INTERVAL_MS) {
         this.send({type: 'alive'});
       }
-      this.schedule();
+      this.scheduleHeartbeat();
     });
   }
 }
 
 function decode(frame: Buffer): PeerMessage | undefined {
   try {
-    return toPeerMessage(packr.unpack(frame));
+    return parsePeerMessage(packr.unpack(frame));
   } catch {
-    // Reported by the caller, which ends the link.
+    // The caller closes the link with this as the cause.
     return undefined;
   }
 }
--- a/packages/relay/src/peers/peerMesh.ts
+++ b/packages/relay/src/peers/peerMesh.ts
@@ -9,39 +9,39 @@
 import {MAX_FRAME_BYTES, PeerLink} from './peerLink.js';
 import type {Hello, PeerMessage} from './peerMessages.js';
 
-/** Pause before a link that was lost is dialled again. */
+/** Backoff before an address is dialled again after its link failed. */
 const DIAL_BACKOFF = {firstMs: 150, maxMs: 2_000};
 
-/** Longest wait for a link to open. */
+/** Timeout for opening a link. */
 const HANDSHAKE_TIMEOUT_MS = 1_000;
 
-/** A process at the other end of an open link. */
+/** The process at the other end of an open link. */
 export interface Peer {
   readonly hello: Hello;
   send(message: PeerMessage): void;
   close(cause: string): void;
 }
 
-/** What the mesh tells of its peers. */
+/** Callbacks of a mesh. */
 export interface PeerMeshEvents {
   opened(peer: Peer): void;
   message(peer: Peer, message: PeerMessage): void;
   closed(peer: Peer): void;
 }
 
-/** The tries to keep a link to one address. */
-interface Dial {
+/** A link that this process dials, and dials again when it is lost. */
+interface OutgoingLink {
   socket: WebSocket | undefined;
-  /** True while its link is only kept until it ends, or its time is over. */
+  /** True once released: an open link is kept until it closes or a timer ends it. */
   isReleased: boolean;
-  cancelEnd: CancelTimer;
+  cancelRelease: CancelTimer;
 }
 
-/** The links of one process: those it dials and those it accepts. */
+/** Manages the links of one process: those that it dials and those that it accepts. */
 export class PeerMesh {
   private readonly open = new Set<Peer>();
-  /** Addresses that are dialled. */
-  private readonly dialled = new Map<string, Dial>();
+  /** Links that this process dials, by formatted address. */
+  private readonly outgoingLinks = new Map<string, OutgoingLink>();
   private isStopped = false;
 
   constructor(
@@ -60,7 +60,7 @@
     for (const peer of this.open) peer.send(message);
   }
 
-  /** Accepts links at an address of this process. */
+  /** Starts a server that accepts links at an address. */
   listen(address: EndpointAddress): Server {
     const server = createServer((_request, response) => {
       response.writeHead(404, {'content-length': 0}).end();
@@ -70,90 +70,94 @@
       maxPayload: MAX_FRAME_BYTES,
       perMessageDeflate: false,
     });
-    sockets.on('connection', (socket) => this.take(socket));
+    sockets.on('connection', (socket) => this.attachSocket(socket));
     sockets.on('error', (error) => {
       this.log.error('peer.listenFailed', {error: error.message});
-      // Others would dial it in vain for as long as it runs.
+      // Fail fast: the process would run without being reachable for its peers.
       throw error;
     });
     server.listen({host: address.host, port: address.port});
     return server;
   }
 
-  /** Keeps a link to an address until it is dropped or released. */
+  /** Opens a link to an address and keeps it open until it is dropped or released. */
   dial(address: EndpointAddress): void {
     const name = formatAddress(address);
     if (name === this.hello.linkAddress) return;
-    const known = this.dialled.get(name);
+    const known = this.outgoingLinks.get(name);
     if (known !== undefined) {
       known.isReleased = false;
-      known.cancelEnd();
+      known.cancelRelease();
       return;
     }
-    const dial = {socket: undefined, isReleased: false, cancelEnd: () => {}};
-    this.dialled.set(name, dial);
-    this.connect(name, dial, 0);
+    const link = {
+      socket: undefined,
+      isReleased: false,
+      cancelRelease: () => {},
+    };
+    this.outgoingLinks.set(name, link);
+    this.connect(name, link, 0);
   }
 
-  /** Ends the link to an address at once. */
+  /** Closes the link to an address at once, and does not dial it again. */
   drop(address: EndpointAddress): void {
     const name = formatAddress(address);
-    const dial = this.dialled.get(name);
-    if (dial !== undefined) this.end(name, dial);
+    const link = this.outgoingLinks.get(name);
+    if (link !== undefined) this.end(name, link);
   }
 
   /**
-   * An address is no longer dialled. A link that is open stays for `keptMs` at the
-   * most: it works, and may soon be wanted again.
+   * Stops dialling an address. An open link is kept for up to `keptMs`, as it works and
+   * may be needed again soon.
    */
   release(address: EndpointAddress, keptMs = Number.POSITIVE_INFINITY): void {
-    this.releaseName(formatAddress(address), keptMs);
+    this.releaseLink(formatAddress(address), keptMs);
   }
 
   /**
-   * Dials these addresses and no others; links to others that were dialled are kept
-   * for `keptMs` and up to half as long again, so that they do not end all at once.
+   * Dials these addresses only. Open links to other addresses are kept for `keptMs` plus
+   * up to half of it as jitter, so that they do not all close at the same time.
    */
   retain(addresses: readonly EndpointAddress[], keptMs = 0): void {
     const kept = new Set(addresses.map(formatAddress));
-    for (const name of [...this.dialled.keys()]) {
+    for (const name of [...this.outgoingLinks.keys()]) {
       if (kept.has(name)) continue;
-      this.releaseName(name, keptMs * (1 + this.random() / 2));
+      this.releaseLink(name, keptMs * (1 + this.random() / 2));
     }
     for (const address of addresses) this.dial(address);
   }
 
-  private releaseName(name: string, keptMs: number): void {
-    const dial = this.dialled.get(name);
-    if (dial === undefined || dial.isReleased) return;
-    const isOpen = dial.socket?.readyState === WebSocket.OPEN;
+  private releaseLink(name: string, keptMs: number): void {
+    const link = this.outgoingLinks.get(name);
+    if (link === undefined || link.isReleased) return;
+    const isOpen = link.socket?.readyState === WebSocket.OPEN;
     if (!isOpen || keptMs <= 0) {
-      this.end(name, dial);
+      this.end(name, link);
       return;
     }
-    dial.isReleased = true;
+    link.isReleased = true;
     if (!Number.isFinite(keptMs)) return;
-    dial.cancelEnd = this.clock.after(keptMs, () => this.end(name, dial));
+    link.cancelRelease = this.clock.after(keptMs, () => this.end(name, link));
   }
 
-  private end(name: string, dial: Dial): void {
-    dial.cancelEnd();
-    if (this.dialled.get(name) === dial) this.dialled.delete(name);
-    dial.socket?.terminate();
+  private end(name: string, link: OutgoingLink): void {
+    link.cancelRelease();
+    if (this.outgoingLinks.get(name) === link) this.outgoingLinks.delete(name);
+    link.socket?.terminate();
   }
 
   stop(): void {
     this.isStopped = true;
-    for (const {cancelEnd} of this.dialled.values()) cancelEnd();
-    this.dialled.clear();
+    for (const {cancelRelease} of this.outgoingLinks.values()) cancelRelease();
+    this.outgoingLinks.clear();
     for (const peer of this.open) peer.close('stopped');
   }
 
-  private connect(name: string, dial: Dial, failures: number): void {
-    // An address that was dropped and dialled again has a dial of its own.
-    if (this.isStopped || this.dialled.get(name) !== dial) return;
-    if (dial.isReleased) {
-      this.end(name, dial);
+  private connect(name: string, link: OutgoingLink, failures: number): void {
+    // An address that was dropped and dialled again has a new `OutgoingLink`.
+    if (this.isStopped || this.outgoingLinks.get(name) !== link) return;
+    if (link.isReleased) {
+      this.end(name, link);
       return;
     }
     const socket = new WebSocket(`ws://${name}/`, {
@@ -161,23 +165,23 @@
       perMessageDeflate: false,
       handshakeTimeout: HANDSHAKE_TIMEOUT_MS,
     });
-    dial.socket = socket;
+    link.socket = socket;
     let hasOpened = false;
     const ended = (): void => {
       const attempt = hasOpened ? 0 : failures + 1;
       const waitMs = backoffMs(DIAL_BACKOFF, attempt, this.random);
-      this.clock.after(waitMs, () => this.connect(name, dial, attempt));
+      this.clock.after(waitMs, () => this.connect(name, link, attempt));
     };
     socket.once('error', () => {
       if (!hasOpened) ended();
     });
     socket.once('open', () => {
       hasOpened = true;
-      this.take(socket, ended);
+      this.attachSocket(socket, ended);
     });
   }
 
-  private take(socket: WebSocket, ended: () => void = () => {}): void {
+  private attachSocket(socket: WebSocket, ended: () => void = () => {}): void {
     let peer: Peer | undefined;
     const link = new PeerLink(
       socket,
--- a/packages/relay/src/peers/peerMessages.ts
+++ b/packages/relay/src/peers/peerMessages.ts
@@ -9,7 +9,7 @@
 import {isRetryUse} from './retryUseMessage.js';
 import {isCrashEnd} from './suspicionMessage.js';
 
-/** What a process does in the deployment. */
+/** Role of a process in the deployment. */
 export const PeerRole = {ENTRY: 'entry', SIDECAR: 'sidecar'} as const;
 export type PeerRole = (typeof PeerRole)[keyof typeof PeerRole];
 
@@ -20,63 +20,63 @@
   readonly role: PeerRole;
   /** Availability zone of the sender. */
   readonly zone: string;
-  /** Address that others reach the sender at; only entries have one. */
+  /** Address at which peers dial the sender; only entries have one. */
   readonly linkAddress?: string;
   /** Address of the endpoint beside the sender; only sidecars have one. */
   readonly endpointAddress?: string;
 }
 
-/** Where an entry can be reached. */
+/** Address and availability zone of an entry. */
 export interface EntryPlace {
   readonly address: string;
   readonly zone: string;
 }
 
-/** Entries that came or went since the sender told of them last. */
+/** Entries that were added or removed since the sender's last message of this type. */
 export interface Members {
   readonly type: 'members';
   readonly entries: readonly EntryPlace[];
-  /** Addresses of entries whose registrations are gone. */
+  /** Addresses of the removed entries. */
   readonly gone: readonly string[];
   /** True where a sidecar should link to entries of its own zone only. */
   readonly isZoned: boolean;
 }
 
-/** The sender has this version of the configuration in force. */
+/** Announces the version of the sender's active configuration. */
 export interface ConfigNotice {
   readonly type: 'configNotice';
   readonly version: number;
 }
 
-/** Asks for the configuration that a notice told of. */
+/** Requests the receiver's active configuration. */
 export interface ConfigRequest {
   readonly type: 'configRequest';
 }
 
-/** A configuration as the store holds it. */
+/** A configuration in the store's encoding. */
 export interface ConfigBody {
   readonly type: 'configBody';
   readonly bytes: Uint8Array;
 }
 
-/** Load of the engine beside a sidecar, as of now. */
+/** The current load of the engine beside a sidecar. */
 export interface EngineLoadReport {
   readonly type: 'engineLoad';
   readonly queued: number;
   readonly active: number;
   readonly memoryUsedTokens: number;
   readonly memoryTokens: number;
-  /** Prompt tokens of all entries' requests that are not read yet. */
+  /** Prompt tokens of all entries' requests that the engine has not yet processed. */
   readonly promptBacklogTokens: number;
-  /** Time until the engine is gone; undefined while it stays. */
+  /** Time until the engine shuts down; undefined if it does not. */
   readonly leavesInMs?: number;
-  /** Unix time of the engine's start; undefined if it does not tell. */
+  /** Unix time of the engine's start; undefined if it does not report it. */
   readonly startedAtMs?: number;
 }
 
 /**
- * Asks for the load of the receiver's engine as of now, for a prompt that may be sent
- * there: until the sender says where it goes, the receiver counts it for others.
+ * Queries the current load of the receiver's engine, for a prompt that may be sent there.
+ * The receiver counts the prompt in its reports to others until the sender decides.
  */
 export interface LoadAsk {
   readonly type: 'loadAsk';
@@ -84,62 +84,62 @@
   readonly promptTokens: number;
 }
 
-/** A prompt that was asked for goes to another engine, or waits on. */
+/** Ends a load query's count: the prompt goes to another engine or keeps waiting. */
 export interface LoadRelease {
   readonly type: 'loadRelease';
   readonly requestId: string;
 }
 
-/** The sender carries the stream of a run at the receiver's engine. */
+/** The sender relays the stream of a run at the receiver's engine. */
 export interface RunStarted {
   readonly type: 'runStarted';
   readonly requestId: string;
   readonly promptTokens: number;
   readonly expectedOutputTokens: number;
-  /** Unix time of the engine's start, as the sender knows it. */
+  /** Unix time of the engine's start, as known to the sender. */
   readonly startedAtMs?: number;
 }
 
-/** The run has left the receiver's engine or has ended. */
+/** The run has ended or was moved away from the receiver's engine. */
 export interface RunEnded {
   readonly type: 'runEnded';
   readonly requestId: string;
 }
 
-/** The engine's link is free for this run: the receiver should move it. */
+/** The engine's network link is free: the receiver should move this run now. */
 export interface MoveGrant {
   readonly type: 'moveGrant';
   readonly requestId: string;
 }
 
-/** The receiver's grant was used, or cannot be. */
+/** The receiver's grant was used, or cannot be used. */
 export interface MoveDone {
   readonly type: 'moveDone';
   readonly requestId: string;
   readonly isMoved: boolean;
 }
 
-/** Asks whether a run may be copied to the receiver's engine now. */
+/** Asks whether a run can be copied to the receiver's engine now. */
 export interface CopyAsk {
   readonly type: 'copyAsk';
   readonly requestId: string;
   readonly tokens: number;
 }
 
-/** Whether the engine's link and memory are free for the copy. */
+/** Answers whether the engine's network link and memory are free for the copy. */
 export interface CopyAnswer {
   readonly type: 'copyAnswer';
   readonly requestId: string;
   readonly isFree: boolean;
 }
 
-/** The copy that was asked for is complete, or will not be made. */
+/** Ends a reservation: the copy is complete or will not be made. */
 export interface CopyDone {
   readonly type: 'copyDone';
   readonly requestId: string;
 }
 
-/** Mean load of the engines that report to the sender. */
+/** Mean load of the engines of one service in the sender's zone. */
 export interface ZoneLoadNotice extends ZoneLoad {
   readonly type: 'zoneLoad';
 }
@@ -148,41 +148,41 @@
 export interface EndpointDoubted {
   readonly type: 'endpointDoubted';
   readonly endpointId: string;
-  /** Unix time of the start of the life that is avoided. */
+  /** Unix start time of the incarnation that is avoided. */
   readonly startedAtMs?: number;
-  /** How long it is avoided from now on. */
+  /** How much longer it is avoided. */
   readonly forMs: number;
 }
 
-/** What the sender heard of the rate that an endpoint names in its answers. */
+/** The rate limit that an endpoint announces in its answers, as known to the sender. */
 export interface EndpointLimitNotice extends ToldLimit {
   readonly type: 'endpointLimit';
   readonly endpointId: string;
-  /** Unix time of the start of the life that names it. */
+  /** Unix start time of the incarnation that announced it. */
   readonly startedAtMs?: number;
 }
 
-/** What the sender knows of an availability zone. */
+/** The evacuation status of an availability zone, as known to the sender. */
 export interface ZoneStatusNotice extends ZoneStatus {
   readonly type: 'zoneStatus';
 }
 
-/** What the sender knows of a request under which endpoints have ended. */
+/** The sender's knowledge of a request during which endpoints have crashed. */
 export interface SuspicionNotice extends Suspicion {
   readonly type: 'suspicion';
 }
 
-/** What the sender was asked for and repeated; over each link first all of it. */
+/** Requests and retries that the sender has counted; the first on each link is complete. */
 export interface RetryUseNotice extends ToldUse {
   readonly type: 'retryUse';
 }
 
-/** What the sender remembers of the former lives of the receiver. */
+/** Retry use of the receiver's previous incarnations, as remembered by the sender. */
 export interface FormerRetryUse extends FormerUse {
   readonly type: 'formerRetryUse';
 }
 
-/** Nothing but a sign of life. */
+/** A heartbeat. */
 export interface Alive {
   readonly type: 'alive';
 }
@@ -213,14 +213,15 @@
   | FormerRetryUse
   | Alive;
 
-/** What a field of a message may hold. */
+/** Validators by kind of field. */
 const FIELD_CHECKS = {
   text: isText,
   flag: (value: unknown) => typeof value === 'boolean',
   count: (value: unknown) => Number.isFinite(value) && (value as number) >= 0,
   bytes: (value: unknown) => value instanceof Uint8Array,
   texts: (value: unknown) => Array.isArray(value) && value.every(isText),
-  places: (value: unknown) => Array.isArray(value) && value.every(isPlace),
+  locations: (value: unknown) =>
+    Array.isArray(value) && value.every(isEntryLocation),
   crashEnds: (value: unknown) =>
     Array.isArray(value) && value.every(isCrashEnd),
   retryUses: (value: unknown) =>
@@ -230,10 +231,10 @@
 
 type FieldKinds = Readonly<Record<string, FieldKind>>;
 
-/** Fields that must be there, for each kind of message. */
-const REQUIRED: Readonly<Record<PeerMessage['type'], FieldKinds>> = {
+/** Required fields, by type of message. */
+const REQUIRED_FIELDS: Readonly<Record<PeerMessage['type'], FieldKinds>> = {
   hello: {instance: 'text', role: 'text', zone: 'text'},
-  members: {entries: 'places', gone: 'texts', isZoned: 'flag'},
+  members: {entries: 'locations', gone: 'texts', isZoned: 'flag'},
   configNotice: {version: 'count'},
   configRequest: {},
   configBody: {bytes: 'bytes'},
@@ -282,8 +283,8 @@
   alive: {},
 };
 
-/** Fields that may be missing; where they are there, they are checked. */
-const OPTIONAL: FieldKinds = {
+/** Optional fields of any message, which are validated if present. */
+const OPTIONAL_FIELDS: FieldKinds = {
   linkAddress: 'text',
   endpointAddress: 'text',
   leavesInMs: 'count',
@@ -291,20 +292,20 @@
   perS: 'count',
 };
 
-/** Checks a decoded frame; undefined when it is no message of ours. */
-export function toPeerMessage(value: unknown): PeerMessage | undefined {
+/** Validates a decoded frame; undefined if it is not a valid message. */
+export function parsePeerMessage(value: unknown): PeerMessage | undefined {
   if (typeof value !== 'object' || value === null) return undefined;
   const fields = value as Record<string, unknown>;
   const type = fields['type'] as PeerMessage['type'];
-  if (typeof type !== 'string' || !Object.hasOwn(REQUIRED, type)) {
+  if (typeof type !== 'string' || !Object.hasOwn(REQUIRED_FIELDS, type)) {
     return undefined;
   }
-  for (const [name, kind] of Object.entries(REQUIRED[type])) {
+  for (const [name, kind] of Object.entries(REQUIRED_FIELDS[type])) {
     if (!FIELD_CHECKS[kind](fields[name])) return undefined;
   }
-  for (const [name, kind] of Object.entries(OPTIONAL)) {
-    const isThere = fields[name] !== undefined && fields[name] !== null;
-    if (isThere && !FIELD_CHECKS[kind](fields[name])) return undefined;
+  for (const [name, kind] of Object.entries(OPTIONAL_FIELDS)) {
+    const isPresent = fields[name] !== undefined && fields[name] !== null;
+    if (isPresent && !FIELD_CHECKS[kind](fields[name])) return undefined;
   }
   return value as PeerMessage;
 }
@@ -313,7 +314,7 @@
   return typeof value === 'string';
 }
 
-function isPlace(value: unknown): boolean {
+function isEntryLocation(value: unknown): boolean {
   if (typeof value !== 'object' || value === null) return false;
   const {address, zone} = value as Partial<EntryPlace>;
   return isText(address) && isText(zone);
--- a/packages/relay/src/peers/receivedNews.ts
+++ b/packages/relay/src/peers/receivedNews.ts
@@ -14,8 +14,8 @@
   ZoneStatusNotice,
 } from './peerMessages.js';
 
-/** What another entry tells of endpoints, zones, requests and of itself. */
-export type EntryNews =
+/** State updates from another entry on endpoints, zones, requests and itself. */
+export type EntryUpdate =
   | EndpointDoubted
   | EndpointLimitNotice
   | ZoneStatusNotice
@@ -24,65 +24,68 @@
   | FormerRetryUse
   | ZoneLoadNotice;
 
-/** Takes over what another entry tells. */
-export function takeNews(
+/** Applies a state update from another entry. */
+export function applyUpdate(
   context: RelayContext,
   peer: Peer,
-  news: EntryNews,
+  update: EntryUpdate,
 ): void {
-  switch (news.type) {
+  switch (update.type) {
     case 'endpointDoubted':
-      takeDoubt(context, news);
+      applyDoubt(context, update);
       return;
     case 'endpointLimit':
-      takeLimit(context, news);
+      applyLimit(context, update);
       return;
     case 'zoneStatus': {
-      const {zone, isEvacuated, revision} = news;
+      const {zone, isEvacuated, revision} = update;
       context.evacuations.noteTold({zone, isEvacuated, revision});
       return;
     }
     case 'suspicion': {
-      const {fingerprint, ends, cleared} = news;
+      const {fingerprint, ends, cleared} = update;
       const suspicion = {fingerprint, ends, cleared};
       context.suspicions.noteTold(suspicion, SuspicionSource.PEER);
       return;
     }
     case 'retryUse':
-      takeRetryUse(context, peer, news);
+      applyRetryUse(context, peer, update);
       return;
     case 'formerRetryUse':
-      context.retryBudgets.noteFormer(news);
+      context.retryBudgets.noteFormer(update);
       return;
     case 'zoneLoad':
-      context.zoneLoads.note(news, context.clock.nowMs());
+      context.zoneLoads.note(update, context.clock.nowMs());
       return;
     default:
-      assertNever(news);
+      assertNever(update);
   }
 }
 
-function takeDoubt(
+function applyDoubt(
   {endpoints, clock}: RelayContext,
   {endpointId, startedAtMs, forMs}: EndpointDoubted,
 ): void {
-  const doubted = lifeOf(endpoints, endpointId, startedAtMs);
-  doubted?.health.takeDoubt(clock.nowMs(), forMs);
+  const endpoint = findIncarnation(endpoints, endpointId, startedAtMs);
+  endpoint?.health.takeDoubt(clock.nowMs(), forMs);
 }
 
-function takeLimit(
+function applyLimit(
   {endpoints, statements}: RelayContext,
   {endpointId, startedAtMs, perS, ageMs, version, origin}: EndpointLimitNotice,
 ): void {
-  const endpoint = lifeOf(endpoints, endpointId, startedAtMs);
+  const endpoint = findIncarnation(endpoints, endpointId, startedAtMs);
   if (endpoint === undefined) return;
-  // MessagePack has null for what is undefined.
-  const told = {perS: perS ?? undefined, ageMs, version, origin};
-  statements.noteLimitTold(endpoint, told);
+  // MessagePack decodes undefined as null.
+  const limit = {perS: perS ?? undefined, ageMs, version, origin};
+  statements.noteLimitTold(endpoint, limit);
 }
 
-/** What is said of another life under an id says nothing of the known one. */
-function lifeOf(
+/**
+ * Finds an endpoint by id, if its known incarnation is the one that the message is
+ * about.
+ */
+function findIncarnation(
   endpoints: EndpointDirectory,
   endpointId: string,
   startedAtMs: number | undefined,
@@ -92,12 +95,12 @@
   return isSame ? known : undefined;
 }
 
-/** An entry that has started anew is answered with what its former life had taken. */
-function takeRetryUse(
+/** Answers an entry that has restarted with the retry use of its previous incarnation. */
+function applyRetryUse(
   {retryBudgets}: RelayContext,
   {hello, send}: Peer,
-  told: RetryUseNotice,
+  retryUse: RetryUseNotice,
 ): void {
-  const former = retryBudgets.noteTold(hello.instance, told);
+  const former = retryBudgets.noteTold(hello.instance, retryUse);
   if (former !== undefined) send({type: 'formerRetryUse', ...former});
 }
--- a/packages/relay/src/peers/retryUseMessage.ts
+++ b/packages/relay/src/peers/retryUseMessage.ts
@@ -1,23 +1,23 @@
 import type {RetryUse, RepeatPart} from '@lilacledge/policy';
 
-/** More parts of one service than this are not taken from elsewhere at once. */
-const MOST_PARTS = 1_000;
+/** Maximum number of parts for one service in a message. */
+const MAX_PARTS = 1_000;
 
-/** Checks what another process says it was asked for and repeated for one service. */
+/** Validates the counts of requests and retries of one service from another process. */
 export function isRetryUse(value: unknown): value is RetryUse {
   if (typeof value !== 'object' || value === null) return false;
   const {service, parts} = value as Partial<RetryUse>;
   if (typeof service !== 'string' || !Array.isArray(parts)) return false;
-  return parts.length <= MOST_PARTS && parts.every(isRepeatPart);
+  return parts.length <= MAX_PARTS && parts.every(isRepeatPart);
 }
 
 function isRepeatPart(value: unknown): value is RepeatPart {
   if (typeof value !== 'object' || value === null) return false;
   const {life, part, agoMs, requests, repeats} = value as Partial<RepeatPart>;
-  const isNamed = typeof life === 'string' && Number.isFinite(part);
-  return isNamed && [agoMs, requests, repeats].every(isAmount);
+  const isIdentified = typeof life === 'string' && Number.isFinite(part);
+  return isIdentified && [agoMs, requests, repeats].every(isNonNegative);
 }
 
-function isAmount(value: unknown): value is number {
+function isNonNegative(value: unknown): value is number {
   return Number.isFinite(value) && (value as number) >= 0;
 }
--- a/packages/relay/src/peers/suspicionMessage.ts
+++ b/packages/relay/src/peers/suspicionMessage.ts
@@ -1,15 +1,15 @@
 import {Exposure} from '@lilacledge/policy';
 import type {CrashEnd, Suspicion} from '@lilacledge/policy';
 
-/** Longest name of a request or of a life that is taken from elsewhere. */
-const MOST_NAME_CHARACTERS = 200;
+/** Maximum length of request fingerprints and incarnation names in messages. */
+const MAX_NAME_LENGTH = 200;
 
-/** More lives than one process tells of at once are not taken. */
-const MOST_LIVES = 256;
+/** Maximum length of the lists of incarnations in one message. */
+const MAX_INCARNATIONS = 256;
 
 const EXPOSURES: ReadonlySet<unknown> = new Set(Object.values(Exposure));
 
-/** Checks a suspicion from elsewhere; undefined when it is none. */
+/** Validates a suspicion from another process; undefined if it is malformed. */
 export function toSuspicion(value: unknown): Suspicion | undefined {
   if (typeof value !== 'object' || value === null) return undefined;
   const {fingerprint, ends, cleared} = value as Partial<Suspicion>;
@@ -18,7 +18,7 @@
   return {fingerprint, ends, cleared};
 }
 
-/** True for the end of a life as another process tells of it. */
+/** True for a valid report of the end of an incarnation. */
 export function isCrashEnd(value: unknown): value is CrashEnd {
   if (typeof value !== 'object' || value === null) return false;
   const {life, exposure, agoMs, sentAgoMs} = value as Partial<CrashEnd>;
@@ -32,9 +32,7 @@
 
 function isName(value: unknown): value is string {
   return (
-    typeof value === 'string' &&
-    value !== '' &&
-    value.length <= MOST_NAME_CHARACTERS
+    typeof value === 'string' && value !== '' && value.length <= MAX_NAME_LENGTH
   );
 }
 
@@ -43,6 +41,8 @@
   isItem: (item: unknown) => item is T,
 ): value is readonly T[] {
   return (
-    Array.isArray(value) && value.length <= MOST_LIVES && value.every(isItem)
+    Array.isArray(value) &&
+    value.length <= MAX_INCARNATIONS &&
+    value.every(isItem)
   );
 }
