--- a/packages/policy/src/__tests__/decisionsFuzz.test.ts
+++ b/packages/policy/src/__tests__/decisionsFuzz.test.ts
@@ -36,8 +36,8 @@
   .array(fc.tuple(tokens, timeMs, fc.boolean()), {maxLength: 60})
   .map((samples) => {
     const learned = new EnginePace();
-    for (const [count, tookMs, isRead] of samples) {
-      if (isRead) learned.noteRead(count, tookMs);
+    for (const [count, tookMs, isPrefill] of samples) {
+      if (isPrefill) learned.noteRead(count, tookMs);
       else learned.noteOutput(count, tookMs);
     }
     return learned;
@@ -178,14 +178,14 @@
   });
 
   it('order waiting generations transitively, by rank first', () => {
-    const place: fc.Arbitrary<WaitingPlace> = fc.record({
+    const position: fc.Arbitrary<WaitingPlace> = fc.record({
       organisationRank: fc.integer({min: 0, max: 3}),
       routeRank: fc.integer({min: 0, max: 3}),
       inTimeUntilMs: timeMs,
       deadlineMs: timeMs,
     });
     fc.assert(
-      fc.property(place, place, place, timeMs, (a, b, c, nowMs) => {
+      fc.property(position, position, position, timeMs, (a, b, c, nowMs) => {
         const order = (x: WaitingPlace, y: WaitingPlace): number =>
           Math.sign(compareWaiting(x, y, nowMs));
         expect(order(a, b) + order(b, a)).toBe(0);
--- a/packages/policy/src/__tests__/linkRings.test.ts
+++ b/packages/policy/src/__tests__/linkRings.test.ts
@@ -2,14 +2,14 @@
 import {nextInRings, ringCount} from '../linkRings.js';
 
 function createNames(size: number): string[] {
-  return Array.from({length: size}, (_, place) => `entry-${place}`);
+  return Array.from({length: size}, (_, index) => `entry-${index}`);
 }
 
 /** All links of a fleet, each as `from to`. */
 function linksOf(names: readonly string[]): Set<string> {
   const links = new Set<string>();
   for (const name of names) {
-    for (const next of nextInRings(name, names)) links.add(`${name} ${next}`);
+    for (const to of nextInRings(name, names)) links.add(`${name} ${to}`);
   }
   return links;
 }
@@ -41,7 +41,7 @@
       (size) => {
         const names = createNames(size);
         for (const leaverIndex of [0, 7, size - 1]) {
-          const remaining = names.filter((_, place) => place !== leaverIndex);
+          const remaining = names.filter((_, index) => index !== leaverIndex);
           expect(countDialled(names, remaining)).toBeLessThanOrEqual(
             ringCount(size),
           );
@@ -51,7 +51,7 @@
 
     it('dials at most one link per ring for each of many members that leave at once', () => {
       const names = createNames(68);
-      const remaining = names.filter((_, place) => place % 3 !== 0);
+      const remaining = names.filter((_, index) => index % 3 !== 0);
       const maxDialled = ringCount(68) * (68 - remaining.length);
       expect(countDialled(names, remaining)).toBeLessThanOrEqual(maxDialled);
     });
--- a/packages/policy/src/__tests__/roomWait.test.ts
+++ b/packages/policy/src/__tests__/roomWait.test.ts
@@ -22,7 +22,7 @@
   refusedWaitMs: number;
 }
 
-function toPlace(arrivedMs: number): WaitingPlace {
+function toPosition(arrivedMs: number): WaitingPlace {
   return {
     organisationRank: 0,
     routeRank: 0,
@@ -48,7 +48,7 @@
     if (nowMs < 4_000 && nowMs % 120 === 0) waiting.push(nowMs);
     if (nowMs >= opensAtMs) room += roomPerStep;
     const before = waiting.length;
-    waiting.sort((a, b) => compareWaiting(toPlace(a), toPlace(b), nowMs));
+    waiting.sort((a, b) => compareWaiting(toPosition(a), toPosition(b), nowMs));
     let admitted = 0;
     let ahead = 0;
     waiting = waiting.filter((arrivedMs) => {
--- a/packages/policy/src/__tests__/waitingOrder.test.ts
+++ b/packages/policy/src/__tests__/waitingOrder.test.ts
@@ -4,7 +4,7 @@
 
 const NOW_MS = 1_000;
 
-function place(changes: Partial<WaitingPlace> = {}): WaitingPlace {
+function position(changes: Partial<WaitingPlace> = {}): WaitingPlace {
   return {
     organisationRank: 0,
     routeRank: 0,
@@ -15,22 +15,25 @@
 }
 
 describe('compareWaiting', () => {
-  const late = place({inTimeUntilMs: NOW_MS - 1, deadlineMs: NOW_MS + 2_000});
+  const late = position({
+    inTimeUntilMs: NOW_MS - 1,
+    deadlineMs: NOW_MS + 2_000,
+  });
 
   it('puts generations that can meet their goal before those that cannot', () => {
-    expect(compareWaiting(place(), late, NOW_MS)).toBeLessThan(0);
+    expect(compareWaiting(position(), late, NOW_MS)).toBeLessThan(0);
   });
 
   it('puts a higher rank first, even if it is late', () => {
-    const lower = place({routeRank: 1});
+    const lower = position({routeRank: 1});
     expect(compareWaiting(late, lower, NOW_MS)).toBeLessThan(0);
-    const lowest = place({organisationRank: 1, routeRank: 0});
+    const lowest = position({organisationRank: 1, routeRank: 0});
     expect(compareWaiting(lower, lowest, NOW_MS)).toBeLessThan(0);
   });
 
   it('puts a retry, with less time left, before newcomers', () => {
-    const returned = place({deadlineMs: NOW_MS + 4_000});
-    expect(compareWaiting(returned, place(), NOW_MS)).toBeLessThan(0);
+    const returned = position({deadlineMs: NOW_MS + 4_000});
+    expect(compareWaiting(returned, position(), NOW_MS)).toBeLessThan(0);
   });
 
   // Guards against metastable overload: in order of arrival, a queue that is longer than
@@ -43,9 +46,11 @@
       for (let nowMs = 0; nowMs < 8_000; nowMs += 100) {
         waiting.push({atMs: nowMs});
         if (isOrdered) {
-          const toPlace = ({atMs}: {atMs: number}): WaitingPlace =>
-            place({inTimeUntilMs: atMs + 1_000, deadlineMs: atMs + 6_000});
-          waiting.sort((a, b) => compareWaiting(toPlace(a), toPlace(b), nowMs));
+          const toPosition = ({atMs}: {atMs: number}): WaitingPlace =>
+            position({inTimeUntilMs: atMs + 1_000, deadlineMs: atMs + 6_000});
+          waiting.sort((a, b) =>
+            compareWaiting(toPosition(a), toPosition(b), nowMs),
+          );
         }
         const [first, ...others] = waiting;
         if (first !== undefined && nowMs - first.atMs <= 1_000) count++;
