--- a/packages/relay/src/evacuation/evacuator.ts
+++ b/packages/relay/src/evacuation/evacuator.ts
@@ -3,32 +3,35 @@
 import type {EngineTraits} from '../model/index.js';
 import type {RelayContext} from '../requests/relayContext.js';
 import {moveRun} from './runMover.js';
-import type {CopyDestinations, MoveEnd} from './runMover.js';
+import type {CopyDestinations, MoveResult} from './runMover.js';
 
-/** Notice that an engine gives when it does not say. */
-const USUAL_NOTICE_MS = 1_500;
+/** Time assumed until a leaving engine shuts down when it announces none. */
+const DEFAULT_NOTICE_MS = 1_500;
 
-/** Moves the runs of this entry away from engines that are leaving. */
+/** Moves this entry's runs from leaving engines to other engines. */
 export class Evacuator {
   constructor(
     private readonly context: RelayContext,
     private readonly traitsOf: (service: string) => EngineTraits | undefined,
-    /** True while the engine's own sidecar hands out grants. */
+    /** True while the sidecar of the endpoint's engine is connected and grants its link. */
     private readonly hasSidecar: (endpoint: Endpoint) => boolean,
     private readonly destinations: CopyDestinations,
   ) {}
 
-  /** Carries a grant out; the engine's link is free for this run alone. */
-  async move(requestId: string): Promise<MoveEnd> {
+  /** Moves the run that was granted exclusive use of its engine's network link. */
+  async move(requestId: string): Promise<MoveResult> {
     const {context} = this;
     if (!context.switches.runMoves) {
-      return {kind: 'notMoved', cause: 'runs are not moved here'};
+      return {kind: 'notMoved', cause: 'moving runs is switched off'};
     }
     const run = context.runs.get(requestId);
-    if (run === undefined) return {kind: 'notMoved', cause: 'no such run'};
+    if (run === undefined) return {kind: 'notMoved', cause: 'unknown run'};
     const traits = this.traitsOf(run.endpoint.record.service);
     if (traits === undefined || !traits.canMove) {
-      return {kind: 'notMoved', cause: 'the engine moves no runs'};
+      return {
+        kind: 'notMoved',
+        cause: 'the engine does not support moving runs',
+      };
     }
     const end = await moveRun(context, run, traits, this.destinations);
     context.metrics.evacuations.inc({end: end.kind});
@@ -42,16 +45,16 @@
     return end;
   }
 
-  /** Without a sidecar's plan this entry moves its own runs, one by one. */
+  /** Moves this entry's runs one by one while no sidecar grants the engine's link. */
   async planAlone(endpoint: Endpoint): Promise<void> {
     const {context} = this;
     if (!context.switches.runMoves) return;
     if (context.runs.at(endpoint).length === 0) return;
-    // Two planners would fill the engine's link with copies side by side, and
-    // every stopped run would wait behind them.
+    // With two schedulers, copies would share the engine's link, and every
+    // stopped run would wait for them to finish.
     if (this.hasSidecar(endpoint)) return;
     const endMs =
-      endpoint.leavesAtMs ?? context.clock.nowMs() + USUAL_NOTICE_MS;
+      endpoint.leavesAtMs ?? context.clock.nowMs() + DEFAULT_NOTICE_MS;
     const tried = new Set<string>();
     while (context.clock.nowMs() < endMs) {
       const left = context.runs
--- a/packages/relay/src/evacuation/linkGrants.ts
+++ b/packages/relay/src/evacuation/linkGrants.ts
@@ -7,52 +7,52 @@
 import type {Peer} from '../peers/peerMesh.js';
 import type {SidecarMetrics} from '../sidecarMetrics.js';
 
-/** A grant that was not answered by then is given to the next run. */
+/** The link passes to the next run if the owner has not replied by then. */
 const GRANT_TIMEOUT_MS = 1_200;
 
-/** A run that found no room is granted the link again after this time. */
-const REGRANT_MS = 150;
+/** Delay before a run that was not moved may be granted the link again. */
+const REGRANT_DELAY_MS = 150;
 
-/** Pause before the runs are looked at again when all were granted. */
-const IDLE_MS = 60;
+/** Interval of checks for new runs while no run is waiting for a grant. */
+const POLL_INTERVAL_MS = 60;
 
-/** A run at the engine and the entry that carries its stream. */
+/** A run at the engine and the entry that relays its stream. */
 export interface OwnedRun {
   readonly owner: Peer;
   readonly promptTokens: number;
   readonly expectedOutputTokens: number;
-  /** Unix time of the engine's start, as the owner knows it. */
+  /** Unix time of the engine's start, as known to the owner. */
   readonly startedAtMs?: number;
 }
 
-/** What the grants of one sidecar are decided from. */
+/** Dependencies of the `LinkGrants` of one sidecar. */
 export interface GrantSources {
   readonly clock: Clock;
   readonly log: DecisionLogger;
   readonly metrics: SidecarMetrics;
-  /** The runs that entries told of, by request. */
+  /** Runs that entries have reported, by request id. */
   readonly runs: ReadonlyMap<string, OwnedRun>;
-  /** How fast the engine works. */
+  /** Measured speed of the engine. */
   readonly pace: EnginePace;
   /** The engine's newest report. */
   report(): EngineReport | undefined;
 }
 
-/** Grants a leaving engine's link to one run after the other. */
+/** Grants a leaving engine's network link to its runs, one at a time. */
 export class LinkGrants {
-  /** Runs that were moved, and those that are tried again later. */
-  private readonly granted = new Set<string>();
+  /** Runs that were moved, and those that wait for `REGRANT_DELAY_MS`. */
+  private readonly alreadyGranted = new Set<string>();
   private open:
     {requestId: string; finish: (isMoved: boolean) => void} | undefined;
 
   constructor(private readonly sources: GrantSources) {}
 
-  /** The owner of a grant is done with the link. */
+  /** Called when the owner of the run has finished using the link. */
   noteDone(requestId: string, isMoved: boolean): void {
     if (this.open?.requestId === requestId) this.open.finish(isMoved);
   }
 
-  /** Hands the link out until the engine is gone. */
+  /** Grants the link until the engine shuts down. */
   async run(leavesAtMs: number, signal: AbortSignal): Promise<void> {
     const {clock, log, pace, runs} = this.sources;
     log.info('evacuation.begun', {
@@ -67,21 +67,23 @@
         pace.outputMs(1),
       );
       if (next === undefined) {
-        await sleep(clock, IDLE_MS, signal);
+        await sleep(clock, POLL_INTERVAL_MS, signal);
         continue;
       }
-      this.granted.add(next.requestId);
+      this.alreadyGranted.add(next.requestId);
       if (await this.grant(next)) continue;
-      clock.after(REGRANT_MS, () => this.granted.delete(next.requestId));
+      clock.after(REGRANT_DELAY_MS, () =>
+        this.alreadyGranted.delete(next.requestId),
+      );
     }
   }
 
-  /** Runs that entries told of, with what the engine says of them. */
+  /** Runs without a grant that both an entry and the engine have reported. */
   private candidates(): RunOutlook[] {
     const outlooks: RunOutlook[] = [];
     for (const row of this.sources.report()?.runs ?? []) {
       const run = this.sources.runs.get(row.requestId);
-      if (run === undefined || this.granted.has(row.requestId)) continue;
+      if (run === undefined || this.alreadyGranted.has(row.requestId)) continue;
       outlooks.push({
         requestId: row.requestId,
         promptTokens: run.promptTokens,
@@ -92,7 +94,7 @@
     return outlooks;
   }
 
-  /** Resolves with true when the run was moved, or may have been. */
+  /** Resolves with true if the run was moved, or if the owner did not reply in time. */
   private grant(outlook: RunOutlook): Promise<boolean> {
     const {clock, log, metrics, runs} = this.sources;
     const {requestId} = outlook;
--- a/packages/relay/src/evacuation/runMover.ts
+++ b/packages/relay/src/evacuation/runMover.ts
@@ -7,35 +7,35 @@
 import type {RelayContext} from '../requests/relayContext.js';
 import type {ActiveRun, Handover} from '../requests/runRegistry.js';
 
-/** How the move of one run ended. */
-export type MoveEnd =
+/** Result of moving one run. */
+export type MoveResult =
   | {readonly kind: 'moved'; readonly destination: string}
   | {readonly kind: 'notMoved'; readonly cause: string};
 
-/** A copy goes this much slower between availability zones (stated). */
-const OTHER_ZONE_FACTOR = 2;
+/** A copy between availability zones takes this many times as long as within one. */
+const CROSS_ZONE_COPY_FACTOR = 2;
 
-/** Longest wait for a copy: a full engine's largest run between zones. */
+/** Covers the copy of the largest run of a full engine to another zone. */
 const COPY_TIMEOUT_MS = 2_500;
 
-/** Longest wait for the rest of a copy, after the run was stopped. */
+/** Timeout for copying the remainder after the run was stopped. */
 const STOP_TIMEOUT_MS = 1_000;
 
-/** Share of an engine's memory that moved runs may fill. */
-const FULL_SHARE = 0.97;
+/** Share of the destination's memory that may be in use with the moved run. */
+const MAX_FILL_SHARE = 0.97;
 
-/** Time for the rest of a copy and the word of it; 7 to 25 ms were seen. */
+/** Copying the remainder and receiving the reply takes 7 to 25 ms. */
 const STOP_MARGIN_MS = 25;
 
-/** A copy within the zone takes half the time; what that is worth. */
-const MOVE_OTHER_ZONE_MS = 200;
+/** Added to the score of engines in another zone, where a copy takes twice as long. */
+const OTHER_ZONE_PENALTY_MS = 200;
 
-/** Destinations that are asked for one run, until one is free. */
-const MOST_ASKED = 4;
+/** Most destinations to try for one run. */
+const MAX_DESTINATIONS = 4;
 
-/** Lets one run at a time be copied to an engine. */
+/** Reserves engines as copy destinations, so that each receives one run at a time. */
 export interface CopyDestinations {
-  /** False when the engine is just being copied to, or is full. */
+  /** Resolves with false if the engine is receiving another copy or is full. */
   reserve(
     endpoint: Endpoint,
     requestId: string,
@@ -44,22 +44,22 @@
   release(endpoint: Endpoint, requestId: string): void;
 }
 
-/** Moves one run away from its engine, which is leaving. */
+/** Moves one run from its leaving engine to another engine with room. */
 export async function moveRun(
   context: RelayContext,
   run: ActiveRun,
   traits: EngineTraits,
   destinations: CopyDestinations,
-): Promise<MoveEnd> {
+): Promise<MoveResult> {
   const excluded = new Set([run.endpoint.id]);
-  for (let asked = 0; asked < MOST_ASKED; asked++) {
+  for (let asked = 0; asked < MAX_DESTINATIONS; asked++) {
     const destination = chooseDestination(context, run, traits, excluded);
     if (destination === undefined) break;
     const {requestId, memoryTokens} = run;
     destination.promisedTokens += memoryTokens;
     try {
       if (await destinations.reserve(destination, requestId, memoryTokens)) {
-        return await moveTo(context, run, destination);
+        return await copyAndHandOver(context, run, destination);
       }
     } finally {
       destination.promisedTokens -= memoryTokens;
@@ -69,19 +69,19 @@
   }
   const cause =
     excluded.size > 1
-      ? 'all that could be reached were full or being copied to'
-      : 'no engine with room can be reached';
+      ? 'all candidate engines were full or receiving another copy'
+      : 'no engine has room and can receive the copy in time';
   return {kind: 'notMoved', cause};
 }
 
-async function moveTo(
+async function copyAndHandOver(
   context: RelayContext,
   run: ActiveRun,
   destination: Endpoint,
-): Promise<MoveEnd> {
+): Promise<MoveResult> {
   const source = run.endpoint;
   const startMs = context.clock.nowMs();
-  const copied = await order(context, run, destination, false);
+  const copied = await requestMove(context, run, destination, false);
   context.log.info('move.copied', {
     request: run.requestId,
     from: source.id,
@@ -96,13 +96,13 @@
   }
   if (run.endpoint !== source) return {kind: 'notMoved', cause: 'run ended'};
   if (destination.hasEnded) {
-    // The copy went with the life that took it.
-    return {kind: 'notMoved', cause: 'the destination started again'};
+    // The copy was lost with the incarnation that received it.
+    return {kind: 'notMoved', cause: 'the destination restarted'};
   }
   return stopAndHandOver(context, run, destination);
 }
 
-/** Time that a copy of the run takes between two endpoints. */
+/** Estimated time to copy a run between two endpoints. */
 export function copyTimeMs(
   traits: EngineTraits,
   tokens: number,
@@ -110,7 +110,7 @@
 ): number {
   if (traits.linkMbps <= 0) return 0;
   const bits = tokens * traits.bytesPerToken * 8;
-  const factor = isSameZone ? 1 : OTHER_ZONE_FACTOR;
+  const factor = isSameZone ? 1 : CROSS_ZONE_COPY_FACTOR;
   return (bits / (traits.linkMbps * 1_000)) * factor;
 }
 
@@ -118,10 +118,10 @@
   context: RelayContext,
   run: ActiveRun,
   destination: Endpoint,
-): Promise<MoveEnd> {
+): Promise<MoveResult> {
   const source = run.endpoint;
   const startMs = context.clock.nowMs();
-  const ordered = order(context, run, destination, true);
+  const ordered = requestMove(context, run, destination, true);
   run.handover = ordered.then((reply) =>
     toHandover(reply, source, destination),
   );
@@ -152,7 +152,7 @@
       return {destinations, source: {address, handle: reply.handle}};
     }
     case 'noRoom':
-      // The source keeps a stopped run and can go on with it while it lives.
+      // The source keeps a stopped run and can resume it until it shuts down.
       if (reply.handle === undefined) return undefined;
       return {
         destinations: [source],
@@ -165,7 +165,7 @@
   }
 }
 
-async function order(
+async function requestMove(
   context: RelayContext,
   run: ActiveRun,
   destination: Endpoint,
@@ -199,20 +199,20 @@
     {
       ...engineUseContext(context),
       zone,
-      otherZoneMs: MOVE_OTHER_ZONE_MS,
+      otherZoneMs: OTHER_ZONE_PENALTY_MS,
       pace: context.paceOf(service),
-      fillLimit: FULL_SHARE,
+      fillLimit: MAX_FILL_SHARE,
       accepts: (endpoint) =>
         run.mayBeAt(endpoint) &&
         context.sendLimits.allows(endpoint) &&
-        canReach(context, run, traits, endpoint),
+        canCopyInTime(context, run, traits, endpoint),
     },
   );
   return choice?.endpoint;
 }
 
-/** True when the copy can be there before the source is gone. */
-function canReach(
+/** True if the copy would complete before the source shuts down. */
+function canCopyInTime(
   context: RelayContext,
   run: ActiveRun,
   traits: EngineTraits,
