--- a/packages/relay/src/suspicions/__tests__/requestSuspicions.test.ts
+++ b/packages/relay/src/suspicions/__tests__/requestSuspicions.test.ts
@@ -16,20 +16,20 @@
 const REQUEST = {id: 'a-1', fingerprint: 'f-1'};
 const SEND = {exposure: Exposure.RUNNING, sentMs: 0};
 
-const FLEET = {self: 'entry-1', members: () => ['entry-1', 'entry-2']};
+const ENTRIES = {self: 'entry-1', members: () => ['entry-1', 'entry-2']};
 
 let clock: VirtualClock;
 let suspicions: RequestSuspicions;
-let told: string[];
+let sources: string[];
 let answering: HttpServer;
 let dropping: Server;
 let silent: Server;
 
 beforeEach(async () => {
   clock = new VirtualClock();
-  suspicions = new RequestSuspicions(clock, silentLog, FLEET);
-  told = [];
-  suspicions.onChange((_suspicion, source) => told.push(source));
+  suspicions = new RequestSuspicions(clock, silentLog, ENTRIES);
+  sources = [];
+  suspicions.onChange((_suspicion, source) => sources.push(source));
   answering = createHttpServer((_request, response) => {
     response.writeHead(400).end();
   });
@@ -46,7 +46,7 @@
   silent.close();
 });
 
-/** A port that nothing listens at. */
+/** A port on which nothing listens. */
 async function closedPort(): Promise<number> {
   const server = createServer();
   await new Promise<void>((resolve) => server.listen(0, HOST, resolve));
@@ -75,40 +75,50 @@
   };
 }
 
-describe('an entry whose send breaks', () => {
-  it('suspects the request when the endpoint is gone', async () => {
+describe('an entry whose connection to an endpoint breaks', () => {
+  it('suspects the request if the endpoint is gone', async () => {
     await suspicions.noteBroken(REQUEST, endpointAt(await closedPort()), SEND);
     expect(suspicions.isSuspected(REQUEST)).toBe(true);
-    expect(told).toEqual([SuspicionSource.OWN]);
+    expect(sources).toEqual([SuspicionSource.OWN]);
   });
 
-  it('suspects it also when something else holds the address', async () => {
+  it('suspects the request if another program has the address', async () => {
     await suspicions.noteBroken(REQUEST, endpointAt(portOf(dropping)), SEND);
     expect(suspicions.isSuspected(REQUEST)).toBe(true);
   });
 
   it.each([
-    ['is there', () => answering],
-    ['is silent', () => silent],
-  ])('suspects nothing at an endpoint that %s', async (_name, serverOf) => {
-    await suspicions.noteBroken(REQUEST, endpointAt(portOf(serverOf())), SEND);
-    expect(suspicions.size).toBe(0);
-    expect(told).toEqual([]);
-  });
+    ['answers', () => answering],
+    ['accepts connections without answering', () => silent],
+  ])(
+    'does not suspect the request if the endpoint %s',
+    async (_name, serverOf) => {
+      await suspicions.noteBroken(
+        REQUEST,
+        endpointAt(portOf(serverOf())),
+        SEND,
+      );
+      expect(suspicions.size).toBe(0);
+      expect(sources).toEqual([]);
+    },
+  );
 
   it.each([
-    ['said so', {hasSaidLeave: true, removedAtMs: 2_000}],
-    ['is long gone from the store', {removedAtMs: 500}],
-    ['told its entries', {}],
-  ])('suspects nothing at one that leaves and %s', async (_name, changes) => {
-    await clock.advance(2_000);
-    const leaving = {isLeaving: true, ...changes};
-    const endpoint = endpointAt(await closedPort(), leaving);
-    await suspicions.noteBroken(REQUEST, endpoint, SEND);
-    expect(suspicions.size).toBe(0);
-  });
-
-  it('suspects it where the end has just taken the endpoint from the store', async () => {
+    ['registered that it leaves', {hasSaidLeave: true, removedAtMs: 2_000}],
+    ['was removed from the store long before', {removedAtMs: 500}],
+    ['announced it to entries only', {}],
+  ])(
+    'does not suspect the request if the endpoint was leaving and %s',
+    async (_name, changes) => {
+      await clock.advance(2_000);
+      const leaving = {isLeaving: true, ...changes};
+      const endpoint = endpointAt(await closedPort(), leaving);
+      await suspicions.noteBroken(REQUEST, endpoint, SEND);
+      expect(suspicions.size).toBe(0);
+    },
+  );
+
+  it('suspects the request if the endpoint left the store only by its crash', async () => {
     await clock.advance(2_000);
     const leaving = {isLeaving: true, removedAtMs: 1_999};
     const endpoint = endpointAt(await closedPort(), leaving);
@@ -116,7 +126,7 @@
     expect(suspicions.isSuspected(REQUEST)).toBe(true);
   });
 
-  it('gives a request up after the second end, for a time', async () => {
+  it('quarantines a request for a time after the second crash', async () => {
     for (const id of ['e-1', 'e-2']) {
       await clock.advance(1_000);
       const sentMs = clock.nowMs();
@@ -129,32 +139,32 @@
     );
   });
 
-  it('clears a request that is answered, and says so', async () => {
+  it('clears a request that is answered, and notifies listeners', async () => {
     await suspicions.noteBroken(REQUEST, endpointAt(await closedPort()), SEND);
     suspicions.noteServed(REQUEST);
     expect(suspicions.isSuspected(REQUEST)).toBe(false);
-    expect(told).toHaveLength(2);
+    expect(sources).toHaveLength(2);
   });
 
-  it('passes on what is new, and only that', async () => {
+  it('notifies listeners only of suspicions that it did not know', async () => {
     await suspicions.noteBroken(REQUEST, endpointAt(await closedPort()), SEND);
-    const other = new RequestSuspicions(clock, silentLog, FLEET);
-    const passedOn: string[] = [];
-    other.onChange((_suspicion, source) => passedOn.push(source));
+    const other = new RequestSuspicions(clock, silentLog, ENTRIES);
+    const forwardedSources: string[] = [];
+    other.onChange((_suspicion, source) => forwardedSources.push(source));
     const [known] = suspicions.all;
     other.noteTold(known!, SuspicionSource.PEER);
     other.noteTold(known!, SuspicionSource.STORE);
-    expect(passedOn).toEqual([SuspicionSource.PEER]);
+    expect(forwardedSources).toEqual([SuspicionSource.PEER]);
     expect(other.isSuspected(REQUEST)).toBe(true);
   });
 
-  describe('once the quarantine is over', () => {
-    const FLEETS = ['entry-1', 'entry-2', 'entry-3'];
-    let fleet: RequestSuspicions[];
+  describe('after the quarantine of a request', () => {
+    const ENTRY_NAMES = ['entry-1', 'entry-2', 'entry-3'];
+    let entries: RequestSuspicions[];
 
     beforeEach(async () => {
-      fleet = FLEETS.map((self) => {
-        const known = {self, members: () => FLEETS};
+      entries = ENTRY_NAMES.map((self) => {
+        const known = {self, members: () => ENTRY_NAMES};
         return new RequestSuspicions(clock, silentLog, known);
       });
       for (const agoMs of [3_000, 1_000]) {
@@ -162,7 +172,7 @@
         const end = {...SEND, life, agoMs, sentAgoMs: agoMs + 400};
         const {fingerprint} = REQUEST;
         const suspicion = {fingerprint, ends: [end], cleared: []};
-        for (const one of fleet) {
+        for (const one of entries) {
           one.noteTold(suspicion, SuspicionSource.PEER);
         }
       }
@@ -171,27 +181,27 @@
 
     function allowed(id: string): RequestSuspicions[] {
       const attempt = {...REQUEST, id};
-      return fleet.filter((one) => one.quarantineMs(attempt) === undefined);
+      return entries.filter((one) => one.quarantineMs(attempt) === undefined);
     }
 
-    it('is tried by one entry, and by one attempt at a time', () => {
-      const [trier, ...others] = allowed('a-1');
+    it('one entry makes the trial, with one attempt at a time', () => {
+      const [trialEntry, ...others] = allowed('a-1');
       expect(others).toEqual([]);
       expect(allowed('a-2')).toEqual([]);
-      expect(allowed('a-1')).toEqual([trier]);
-      expect(trier!.isSuspected(REQUEST)).toBe(true);
+      expect(allowed('a-1')).toEqual([trialEntry]);
+      expect(trialEntry!.isSuspected(REQUEST)).toBe(true);
     });
 
-    it('is tried again by another attempt where the first came to nothing', async () => {
+    it('another attempt makes the trial if the first has no result in time', async () => {
       expect(allowed('a-1')).toHaveLength(1);
       await clock.advance(5_000);
       expect(allowed('a-2')).toHaveLength(1);
     });
 
-    it('is free for all once the trial is answered', () => {
+    it('all entries may send the request once the trial is answered', () => {
       const [trier] = allowed('a-1');
       trier!.onChange((suspicion) => {
-        for (const one of fleet) {
+        for (const one of entries) {
           one.noteTold(suspicion, SuspicionSource.PEER);
         }
       });
--- a/packages/relay/src/suspicions/__tests__/storedSuspicions.test.ts
+++ b/packages/relay/src/suspicions/__tests__/storedSuspicions.test.ts
@@ -10,8 +10,8 @@
 const PREFIX = 'serving/suspicions/';
 const FINGERPRINT = 'f-1';
 
-/** What is known after two ends, a second apart. */
-const CERTAIN: Suspicion = {
+/** A request during which two endpoints crashed, one second apart. */
+const QUARANTINED: Suspicion = {
   fingerprint: FINGERPRINT,
   ends: [2_000, 1_000].map((agoMs) => ({
     life: `life-${agoMs}`,
@@ -22,20 +22,20 @@
   cleared: [],
 };
 
-const FLEET = {self: 'entry-1', members: () => ['entry-1', 'entry-2']};
+const ENTRIES = {self: 'entry-1', members: () => ['entry-1', 'entry-2']};
 
 let clock: VirtualClock;
 let suspicions: RequestSuspicions;
 let writes: LeasedWrite[];
 let endedLeases: number[];
-let isAway: boolean;
+let isDown: boolean;
 
 beforeEach(() => {
   clock = new VirtualClock();
-  suspicions = new RequestSuspicions(clock, silentLog, FLEET);
+  suspicions = new RequestSuspicions(clock, silentLog, ENTRIES);
   writes = [];
   endedLeases = [];
-  isAway = false;
+  isDown = false;
   keepSuspicions({
     store: store(),
     prefix: PREFIX,
@@ -47,11 +47,11 @@
 });
 
 function store(): MetadataStore {
-  const away = {kind: 'refused', status: 503} as const;
+  const down = {kind: 'refused', status: 503} as const;
   const port: Partial<MetadataStore> = {
-    grantLease: async (ttlMs) => (isAway ? away : {kind: 'ok', value: ttlMs}),
+    grantLease: async (ttlMs) => (isDown ? down : {kind: 'ok', value: ttlMs}),
     put: async (write) => {
-      if (isAway) return away;
+      if (isDown) return down;
       writes.push(write);
       return {kind: 'ok', value: null};
     },
@@ -75,9 +75,9 @@
   };
 }
 
-describe('a request that is given up', () => {
-  it('is kept in the store for as long, by the entry that saw it', async () => {
-    suspicions.noteTold(CERTAIN, SuspicionSource.OWN);
+describe('a quarantined request', () => {
+  it('is stored for the longest quarantine by the entry that saw the crash', async () => {
+    suspicions.noteTold(QUARANTINED, SuspicionSource.OWN);
     await settle();
     expect(writes).toHaveLength(1);
     expect(writes[0]).toMatchObject({
@@ -87,26 +87,26 @@
   });
 
   it.each([SuspicionSource.PEER, SuspicionSource.STORE])(
-    'is not kept by one that heard of it (%s)',
+    'is not stored by an entry that learned of it from another source (%s)',
     async (source) => {
-      suspicions.noteTold(CERTAIN, source);
+      suspicions.noteTold(QUARANTINED, source);
       await settle();
       expect(writes).toHaveLength(0);
     },
   );
 
-  it('is kept once the store is back', async () => {
-    isAway = true;
-    suspicions.noteTold(CERTAIN, SuspicionSource.OWN);
+  it('is stored once the store is available again', async () => {
+    isDown = true;
+    suspicions.noteTold(QUARANTINED, SuspicionSource.OWN);
     await settle(5_000);
     expect(writes).toHaveLength(0);
-    isAway = false;
+    isDown = false;
     await settle(2_000);
     expect(writes).toHaveLength(1);
   });
 
-  it('is kept no longer once it was served', async () => {
-    suspicions.noteTold(CERTAIN, SuspicionSource.OWN);
+  it('is removed from the store once it is served', async () => {
+    suspicions.noteTold(QUARANTINED, SuspicionSource.OWN);
     await settle();
     suspicions.noteServed({id: 'a', fingerprint: FINGERPRINT});
     await settle();
@@ -114,26 +114,26 @@
   });
 
   it('is known to an entry that reads the store', async () => {
-    suspicions.noteTold(CERTAIN, SuspicionSource.OWN);
+    suspicions.noteTold(QUARANTINED, SuspicionSource.OWN);
     await settle();
-    const starting = new RequestSuspicions(clock, silentLog, FLEET);
+    const starting = new RequestSuspicions(clock, silentLog, ENTRIES);
     const section = suspicionSection(PREFIX, starting, silentLog);
     section.written(item(writes[0]!.value.toString()), clock.nowMs());
-    expect(starting.isGivenUp(FINGERPRINT)).toBe(true);
+    expect(starting.isQuarantined(FINGERPRINT)).toBe(true);
   });
 });
 
-describe('one under which a single endpoint ended', () => {
-  it('costs no call to the store', async () => {
-    const [first] = CERTAIN.ends;
-    const once = {...CERTAIN, ends: [first!]};
+describe('a request during which a single endpoint crashed', () => {
+  it('causes no call to the store', async () => {
+    const [first] = QUARANTINED.ends;
+    const once = {...QUARANTINED, ends: [first!]};
     suspicions.noteTold(once, SuspicionSource.OWN);
     await settle();
     expect(writes).toHaveLength(0);
   });
 });
 
-describe('an item of the store that is none of ours', () => {
+describe('an invalid item in the store', () => {
   it.each([
     '',
     'no json',
@@ -145,7 +145,7 @@
     '{"fingerprint":"f","ends":[{"life":"a","exposure":"x","agoMs":1,"sentAgoMs":2}],"cleared":[]}',
     '{"fingerprint":"f","ends":[{"life":"a","exposure":"running","agoMs":-1,"sentAgoMs":2}],"cleared":[]}',
     '{"fingerprint":"f","ends":[{"life":"a","exposure":"running","agoMs":1e999,"sentAgoMs":2}],"cleared":[]}',
-  ])('changes nothing (%s)', (value) => {
+  ])('is logged and otherwise ignored (%s)', (value) => {
     const lines: string[] = [];
     const log = {...silentLog, warn: (event: string) => lines.push(event)};
     const section = suspicionSection(PREFIX, suspicions, log);
--- a/packages/relay/src/suspicions/requestSuspicions.ts
+++ b/packages/relay/src/suspicions/requestSuspicions.ts
@@ -12,10 +12,10 @@
 import type {DecisionLogger} from '../log/boundedLog.js';
 import type {CallerExchange} from '../requests/callerExchange.js';
 
-/** One trial goes on for this long at the most; callers come back after it. */
+/** A trial ends after this time at the latest; until then callers are told to retry. */
 const TRIAL_MS = 5_000;
 
-/** Where news of a suspicion came from. */
+/** Where a change of a suspicion was learned. */
 export const SuspicionSource = {
   /** A send of this entry. */
   OWN: 'own',
@@ -25,22 +25,22 @@
 export type SuspicionSource =
   (typeof SuspicionSource)[keyof typeof SuspicionSource];
 
-/** A send whose connection broke before anything of its answer had come. */
+/** A send whose connection broke before any part of its answer arrived. */
 export interface BrokenSend {
   readonly exposure: Exposure;
   readonly sentMs: number;
 }
 
-/** One attempt of a request, and what names it across its attempts. */
-type NamedRequest = Pick<CallerExchange, 'id' | 'fingerprint'>;
+/** The id of one attempt, and the fingerprint that all attempts of the request share. */
+type RequestIdentity = Pick<CallerExchange, 'id' | 'fingerprint'>;
 
 type EndedEndpoint = Pick<
   Endpoint,
   'id' | 'record' | 'isLeaving' | 'hasSaidLeave' | 'removedAtMs'
 >;
 
-/** The entries of which one makes a trial, by name. */
-export interface Fleet {
+/** Names of the entries of which exactly one makes the trial of a request. */
+export interface TrialEntries {
   readonly self: string;
   members(): readonly string[];
 }
@@ -48,9 +48,9 @@
 type Listener = (suspicion: Suspicion, source: SuspicionSource) => void;
 
 /**
- * The requests under which endpoints have ended, as this entry saw them and as it was told.
- * The entry whose send broke is the witness: it knows what had come of the answer, and
- * finds out by itself whether the endpoint is gone.
+ * Tracks requests during which endpoints crashed, as seen by this entry or received from
+ * others. Only the entry whose send broke records a crash: it knows how much of the answer
+ * had arrived, and checks itself whether the endpoint is gone.
  */
 export class RequestSuspicions {
   private readonly known: CrashSuspicions;
@@ -61,12 +61,12 @@
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLogger,
-    private readonly fleet: Fleet,
+    private readonly entries: TrialEntries,
   ) {
     this.known = new CrashSuspicions(clock);
   }
 
-  /** Requests that are remembered. */
+  /** Number of tracked requests. */
   get size(): number {
     return this.known.size;
   }
@@ -75,18 +75,18 @@
     return this.known.all;
   }
 
-  /** What is known of a request; undefined when nothing is. */
+  /** The suspicion against a request, if any. */
   get(fingerprint: string): Suspicion | undefined {
     return this.known.get(fingerprint);
   }
 
-  /** Calls `listener` with each request of which something new is known. */
+  /** Calls `listener` whenever the suspicion against a request changes. */
   onChange(listener: Listener): void {
     this.listeners.push(listener);
   }
 
-  /** How long a request is sent nowhere; undefined where this attempt may be sent. */
-  quarantineMs(exchange: NamedRequest): number | undefined {
+  /** How long this attempt must not be sent; undefined if it may be sent now. */
+  quarantineMs(exchange: RequestIdentity): number | undefined {
     if (this.known.isEmpty) return undefined;
     const verdict = this.known.verdict(exchange.fingerprint);
     switch (verdict.kind) {
@@ -96,27 +96,27 @@
       case 'quarantined':
         return verdict.forMs;
       case 'onTrial':
-        return this.takesTrial(exchange) ? undefined : TRIAL_MS;
+        return this.mayRunTrial(exchange) ? undefined : TRIAL_MS;
       default:
         return assertNever(verdict);
     }
   }
 
-  /** True for a request that is sent nowhere now, or on trial alone. */
-  isGivenUp(fingerprint: string): boolean {
+  /** True if the request is not sent to endpoints, except for a trial after its quarantine. */
+  isQuarantined(fingerprint: string): boolean {
     const {kind} = this.known.verdict(fingerprint);
     return kind === 'quarantined' || kind === 'onTrial';
   }
 
-  /** True for a request under which endpoints ended, maybe by chance. */
-  isSuspected(exchange: NamedRequest): boolean {
+  /** True if endpoints crashed during the request, possibly by coincidence. */
+  isSuspected(exchange: RequestIdentity): boolean {
     if (this.known.isEmpty) return false;
     return this.known.verdict(exchange.fingerprint).kind !== 'free';
   }
 
-  /** One entry tries, which all agree on, and one attempt at a time. */
-  private takesTrial({id, fingerprint}: NamedRequest): boolean {
-    const {self, members} = this.fleet;
+  /** True if this entry is the one that makes the trial, and no other attempt is on trial. */
+  private mayRunTrial({id, fingerprint}: RequestIdentity): boolean {
+    const {self, members} = this.entries;
     if (!makesTrial(fingerprint, self, members())) return false;
     const nowMs = this.clock.nowMs();
     const isOpen = this.trial !== undefined && nowMs < this.trial.untilMs;
@@ -125,9 +125,9 @@
     return true;
   }
 
-  /** The connection of a send broke: did its endpoint end? */
+  /** Records a crash if the endpoint is gone after the connection of a send broke. */
   async noteBroken(
-    exchange: NamedRequest,
+    exchange: RequestIdentity,
     endpoint: EndedEndpoint,
     {exposure, sentMs}: BrokenSend,
   ): Promise<void> {
@@ -135,7 +135,7 @@
     if (!(await hasEnded(endpoint.record.address))) return;
     const {fingerprint} = exchange;
     const sentAgoMs = this.clock.nowMs() - sentMs;
-    const life = lifeOf(endpoint);
+    const life = incarnationOf(endpoint);
     const end: CrashEnd = {life, exposure, agoMs: 0, sentAgoMs};
     if (!this.known.noteEnd(fingerprint, end)) return;
     this.log.warn('endpoint.endedUnder', {
@@ -147,8 +147,8 @@
     this.changed(fingerprint, SuspicionSource.OWN);
   }
 
-  /** A part of the answer came: the request ends no endpoint. */
-  noteServed(exchange: NamedRequest): void {
+  /** Clears the request: part of its answer arrived, so it does not crash endpoints. */
+  noteServed(exchange: RequestIdentity): void {
     if (this.known.isEmpty) return;
     const {fingerprint} = exchange;
     if (!this.known.noteServed(fingerprint)) return;
@@ -156,7 +156,7 @@
     this.changed(fingerprint, SuspicionSource.OWN);
   }
 
-  /** Another process tells what it knows. */
+  /** Merges a suspicion received from a peer or read from the store. */
   noteTold(suspicion: Suspicion, source: SuspicionSource): void {
     if (this.known.merge(suspicion)) {
       this.changed(suspicion.fingerprint, source);
@@ -172,7 +172,7 @@
 
   private changed(fingerprint: string, source: SuspicionSource): void {
     const suspicion = this.known.get(fingerprint);
-    // It may have been dropped at once, where too much is known.
+    // It may have been evicted at once if too many requests are tracked.
     if (suspicion === undefined) return;
     const {ends, cleared} = suspicion;
     this.log.info('request.suspicion', {
@@ -180,13 +180,13 @@
       source,
       ends: ends.length,
       cleared: cleared.length,
-      isQuarantined: this.isGivenUp(fingerprint),
+      isQuarantined: this.isQuarantined(fingerprint),
     });
     for (const listener of this.listeners) listener(suspicion, source);
   }
 }
 
-/** Names a life of an endpoint, which keeps its id when it starts again in place. */
-function lifeOf({id, record}: EndedEndpoint): string {
+/** Identifies an incarnation: an endpoint that restarts in place keeps its id. */
+function incarnationOf({id, record}: EndedEndpoint): string {
   return `${id}@${record.startedAtMs ?? ''}`;
 }
--- a/packages/relay/src/suspicions/storedSuspicions.ts
+++ b/packages/relay/src/suspicions/storedSuspicions.ts
@@ -10,50 +10,53 @@
 import {SuspicionSource} from './requestSuspicions.js';
 import type {RequestSuspicions} from './requestSuspicions.js';
 
-/** Pause before a write that failed is tried again. */
+/** Delay before a failed write is retried. */
 const RETRY_INTERVAL_MS = 1_000;
 
-/** Requests that one entry keeps in the store at a time; the calls are paid for. */
-const MOST_STORED = 50;
+/** Limits the requests that one entry stores at a time, as calls to the store cost money. */
+const MAX_STORED_REQUESTS = 50;
 
-/** What the keeping of suspicions needs of its entry. */
+/** Dependencies of `storeQuarantines`. */
 export interface StoredSuspicionSources {
   readonly store: MetadataStore;
   readonly prefix: string;
   readonly clock: Clock;
   readonly log: DecisionLogger;
   readonly suspicions: RequestSuspicions;
-  /** Ends all tries to write. */
+  /** Ends all retries of writes. */
   readonly signal: AbortSignal;
 }
 
 /**
- * Keeps requests that are given up in the store, under a lease as long as the longest
- * quarantine: all entries may start again at once, and no process has a disk. The entry that
- * saw the deciding end writes.
+ * Writes quarantined requests to the metadata store, so that they survive a simultaneous
+ * restart of all entries, which have no disk. The key has a lease as long as the longest
+ * quarantine. Only the entry that saw the crash which led to the quarantine writes it.
  */
 export function keepSuspicions(sources: StoredSuspicionSources): void {
   const {suspicions} = sources;
   const leases = new Map<string, Promise<number | undefined>>();
   suspicions.onChange((suspicion, source) => {
     const {fingerprint} = suspicion;
-    const isGivenUp = suspicions.isGivenUp(fingerprint);
+    const isQuarantined = suspicions.isQuarantined(fingerprint);
     const lease = leases.get(fingerprint);
-    if (!isGivenUp && lease !== undefined) {
+    if (!isQuarantined && lease !== undefined) {
       leases.delete(fingerprint);
       void endLease(sources, lease);
       return;
     }
-    const isOurs = source === SuspicionSource.OWN && lease === undefined;
-    if (!isGivenUp || !isOurs || leases.size >= MOST_STORED) return;
-    leases.set(fingerprint, keep(sources, suspicion));
+    const isOwn = source === SuspicionSource.OWN && lease === undefined;
+    if (!isQuarantined || !isOwn || leases.size >= MAX_STORED_REQUESTS) return;
+    leases.set(fingerprint, writeUntilStored(sources, suspicion));
     sources.clock.after(LONGEST_QUARANTINE_MS, () =>
       leases.delete(fingerprint),
     );
   });
 }
 
-/** Reads what entries keep; a key that goes says nothing, as ages are in the value. */
+/**
+ * Merges suspicions that entries have stored. A deleted key is ignored: the stored ages
+ * determine when a quarantine ends.
+ */
 export function suspicionSection(
   prefix: string,
   suspicions: RequestSuspicions,
@@ -73,8 +76,11 @@
   };
 }
 
-/** Writes until it is stored, or no longer of use; resolves with its lease. */
-async function keep(
+/**
+ * Retries the write until it succeeds or the request is no longer quarantined. Resolves
+ * with the lease of the stored key, if any.
+ */
+async function writeUntilStored(
   sources: StoredSuspicionSources,
   {fingerprint}: Suspicion,
 ): Promise<number | undefined> {
@@ -82,7 +88,7 @@
   while (!signal.aborted) {
     const suspicion = suspicions.get(fingerprint);
     if (suspicion === undefined) return undefined;
-    if (!suspicions.isGivenUp(fingerprint)) return undefined;
+    if (!suspicions.isQuarantined(fingerprint)) return undefined;
     const leaseId = await write(sources, suspicion);
     if (leaseId !== undefined) return leaseId;
     await sleep(clock, RETRY_INTERVAL_MS, signal);
@@ -122,7 +128,7 @@
   try {
     return JSON.parse(value.toString('utf8'));
   } catch {
-    // Reported by the caller, as any other value that says nothing.
+    // The caller logs it like any other invalid value.
     return undefined;
   }
 }
