--- a/packages/relay/src/model/callerRequest.ts
+++ b/packages/relay/src/model/callerRequest.ts
@@ -1,36 +1,36 @@
-/** Raw header names and values in turns, as Node.js gives them. */
+/** Alternating header names and values, as in Node.js's `rawHeaders`. */
 export type RawHeaders = readonly string[];
 
-/** The prompt and the output that a caller announces. */
+/** Size of the prompt and of the output, as announced by the caller. */
 export interface GenerationSize {
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** The caller's estimate; right at the median and often far off. */
+  /** The caller's estimate: accurate in the median, but often far off for one request. */
   readonly expectedOutputTokens?: number;
-  /** Names of the shared parts of the prompt, in order. */
+  /** Parts of the prompt that other requests may share, in order. */
   readonly prefixParts: readonly PrefixPart[];
 }
 
-/** A part of a prompt that other requests may share. */
+/** A shareable part of a prompt. */
 export interface PrefixPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** The head of one client attempt, decoded once. */
+/** The decoded head of one client attempt. */
 export interface CallerRequest {
-  /** Name of this client attempt; empty when the client sent none. */
+  /** Id of this client attempt; empty if the client sent none. */
   readonly requestId: string;
   readonly method: string;
-  /** The request target as it came, with its query. */
+  /** The request target as received, including the query. */
   readonly target: string;
-  /** The target without its query. */
+  /** The target without the query. */
   readonly path: string;
   /** Lower case, without a port. */
   readonly host: string;
   readonly rawHeaders: RawHeaders;
   readonly apiKey?: string;
-  /** How long the client waits; undefined when it does not say. */
+  /** How long the client waits for an answer; undefined if it did not announce it. */
   readonly patienceMs?: number;
   readonly size?: GenerationSize;
 }
--- a/packages/relay/src/model/endpoint.ts
+++ b/packages/relay/src/model/endpoint.ts
@@ -1,22 +1,22 @@
-/** Whether an endpoint takes new work, as it says itself. */
+/** Whether an endpoint accepts new work, according to its registration. */
 export const EndpointState = {
   READY: 'ready',
   DRAINING: 'draining',
 } as const;
 export type EndpointState = (typeof EndpointState)[keyof typeof EndpointState];
 
-/** Where an endpoint is reached. */
+/** Network address of an endpoint. */
 export interface EndpointAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** One incarnation of an endpoint, as it registered itself. */
+/** Registration of one incarnation of an endpoint. */
 export interface EndpointRecord {
   readonly id: string;
   /**
-   * Unix time of this start of the endpoint, which may have had the id in a former
-   * life; undefined where endpoints do not tell it.
+   * Unix time at which this incarnation started, which distinguishes it from earlier ones
+   * with the same id; undefined if endpoints do not register it.
    */
   readonly startedAtMs?: number;
   readonly service: string;
@@ -24,18 +24,18 @@
   readonly zone: string;
   readonly slots: number;
   readonly state: EndpointState;
-  /** How much longer the endpoint is slow after its start. */
+  /** Remaining time for which the endpoint is slow after its start. */
   readonly warmupLeftMs: number;
 }
 
-/** The address as `host:port`. */
+/** Formats the address as `host:port`. */
 export function formatAddress(address: EndpointAddress): string {
   return `${address.host}:${address.port}`;
 }
 
 const ADDRESS = /^([^\s:]+):(\d{1,5})$/;
 
-/** Parses `host:port`; undefined when it is not of that form. */
+/** Parses `host:port`; returns undefined if `text` has another form. */
 export function parseAddress(text: string): EndpointAddress | undefined {
   const [, host, digits] = ADDRESS.exec(text) ?? [];
   const port = Number(digits);
--- a/packages/relay/src/model/engineReport.ts
+++ b/packages/relay/src/model/engineReport.ts
@@ -1,27 +1,27 @@
-/** One generation in an engine's memory. */
+/** A generation held in an engine's memory. */
 export interface ReportedRun {
-  /** The client attempt that it belongs to. */
+  /** Id of the client attempt that the generation belongs to. */
   readonly requestId: string;
   readonly memoryTokens: number;
   readonly eventsMade: number;
 }
 
-/** How busy an engine is. */
+/** Load of an engine. */
 export interface EngineLoad {
   readonly queued: number;
   readonly active: number;
-  /** Memory that running generations hold. */
+  /** Memory held by running generations. */
   readonly memoryUsedTokens: number;
   readonly memoryTokens: number;
-  /** Prompt tokens that were sent there and are not read yet. */
+  /** Prompt tokens that were sent to the engine and wait for prefill. */
   readonly promptBacklogTokens: number;
 }
 
-/** What an engine tells of itself. */
+/** State that an engine reports to its sidecar. */
 export interface EngineReport extends Omit<EngineLoad, 'promptBacklogTokens'> {
-  /** Unix time of the engine's start; undefined where engines do not tell it. */
+  /** Unix time of the engine's start; undefined if the engine does not report it. */
   readonly startedAtMs?: number;
-  /** Time until the endpoint goes away; undefined while none is known. */
+  /** Time until the endpoint shuts down; undefined if no shutdown is announced. */
   readonly leavesInMs?: number;
   readonly runs: readonly ReportedRun[];
 }
--- a/packages/relay/src/model/servingConfig.ts
+++ b/packages/relay/src/model/servingConfig.ts
@@ -1,21 +1,21 @@
-/** What may be repeated when a request has failed. */
+/** Whether a failed request may be retried, and how it is answered. */
 export const RequestClass = {
   /** May run more than once. */
   IDEMPOTENT: 'idempotent',
   /** Runs at most once. */
   NON_IDEMPOTENT: 'nonIdempotent',
-  /** Runs at most once and answers with a series of events. */
+  /** Runs at most once and answers with a stream of events. */
   STREAMING: 'streaming',
 } as const;
 export type RequestClass = (typeof RequestClass)[keyof typeof RequestClass];
 
-/** One of the services that a route is split over. */
+/** A service that receives a weighted share of a route's requests. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
 }
 
-/** How requests of one host and path prefix are served. */
+/** Serving rules for requests to one host and path prefix. */
 export interface Route {
   readonly name: string;
   /** Lower case, without a port. */
@@ -23,58 +23,58 @@
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly requestClass: RequestClass;
-  /** Longest time that a caller is kept waiting for a final answer. */
+  /** Longest time until the caller receives a final answer. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to the first event, that callers were promised. */
+  /** Target time to the answer, or to the first event of a stream. */
   readonly latencyGoalMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Most endpoints that one request may be sent to. */
+  /** Maximum number of endpoints that one request may be sent to. */
   readonly maxAttempts: number;
-  /** True when callers need no API key. */
+  /** True if callers need no API key. */
   readonly isAnonymous: boolean;
-  /** True when a client may resume at an event id of its own. */
+  /** True if a client may resume a stream after an event id that it sends. */
   readonly isResumable: boolean;
-  /** A caller leaves a stream that brings no event for this long. */
+  /** Callers disconnect from a stream after this long without an event. */
   readonly silenceLimitMs: number;
-  /** Longest pause between events that is still on time. */
+  /** Longest pause between events that still meets the latency goal. */
   readonly pauseGoalMs?: number;
-  /** Regions in which its requests may be served; all where undefined. */
+  /** Regions in which its requests may be served; undefined for all regions. */
   readonly homes?: readonly string[];
 }
 
-/** The engine behind the endpoints of a model service. */
+/** Properties of the engines behind a model service. */
 export interface EngineTraits {
   readonly slots: number;
   readonly memoryTokens: number;
   readonly bytesPerToken: number;
   readonly linkMbps: number;
-  /** True when a running generation can be moved to another endpoint. */
+  /** True if a running generation can be moved to another endpoint. */
   readonly canMove: boolean;
-  /** True when a running generation can be copied as it grows. */
+  /** True if a running generation can be backed up continuously to another endpoint. */
   readonly canBackUp: boolean;
   readonly tokensPerEvent: number;
 }
 
-/** What a cold endpoint bears. */
+/** Limits the requests to endpoints that have recently started. */
 export interface WarmUp {
-  /** How long an endpoint is cold after its start. */
+  /** How long an endpoint stays cold after its start. */
   readonly durationMs: number;
-  /** Requests a second, from all entries together. */
+  /** Requests per second to a cold endpoint, summed over all entries. */
   readonly ratePerS: number;
 }
 
-/** A set of endpoints that are equal to callers. */
+/** A set of interchangeable endpoints. */
 export interface Service {
   readonly name: string;
   readonly maxConnections: number;
   readonly engine?: EngineTraits;
-  /** Undefined where endpoints bear their usual rate from the start. */
+  /** Undefined if endpoints take their full rate immediately after their start. */
   readonly warmUp?: WarmUp;
 }
 
-/** Bounds on what a client may send and how long it may take. */
+/** Limits on the size of a client's request and on the time to send it. */
 export interface ClientLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -82,22 +82,22 @@
   readonly idleTimeoutMs: number;
 }
 
-/** A customer with the API keys that are valid now. */
+/** A customer and its currently valid API keys. */
 export interface Organisation {
   readonly name: string;
   readonly apiKeys: readonly string[];
-  /** Regions in which its requests may be served; all where undefined. */
+  /** Regions in which its requests may be served; undefined for all regions. */
   readonly homes?: readonly string[];
-  /** Goes before the priority of the route. */
+  /** Ranks before the priority of the route; 0 is the most urgent. */
   readonly priority?: number;
 }
 
-/** The operators' configuration in full; a higher version replaces a lower. */
+/** The operators' complete configuration; a higher version replaces a lower one. */
 export interface ServingConfig {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: ClientLimits;
-  /** Undefined when requests carry no keys at all. */
+  /** Undefined if the deployment uses no API keys. */
   readonly organisations?: readonly Organisation[];
 }
