--- a/packages/relay/src/endpoints/__tests__/chooseEndpoint.test.ts
+++ b/packages/relay/src/endpoints/__tests__/chooseEndpoint.test.ts
@@ -33,23 +33,23 @@
 }
 
 describe('chooseForCall', () => {
-  it('takes the one with the fewest open requests', () => {
+  it('prefers the endpoint with the fewest open requests', () => {
     const [a, b] = [endpoint('a'), endpoint('b')];
     a.outstanding = 2;
     expect(choose([a, b], 0)).toBe('b');
   });
 
-  it('stays in the zone when loads are alike', () => {
+  it('prefers the own zone when loads are equal', () => {
     expect(choose([endpoint('a', 'south'), endpoint('b')], 0)).toBe('b');
   });
 
-  it('counts what others send, as the endpoint told a moment ago', () => {
+  it('counts the load from other entries that the endpoint reported recently', () => {
     const [a, b] = [endpoint('a'), endpoint('b')];
     a.load = {value: {running: 6, waiting: 3, slots: 6}, atMs: 0};
     expect(choose([a, b], 10)).toBe('b');
   });
 
-  it('avoids one that failed often, until some time has passed', () => {
+  it('avoids an endpoint that failed repeatedly, until some time has passed', () => {
     const [a, b] = [endpoint('a'), endpoint('b')];
     b.outstanding = 5;
     a.health.noteSilence(0, false);
@@ -58,7 +58,7 @@
     expect(choose([a, b], 5_000)).toBe('a');
   });
 
-  it('takes a doubted one when there is no other', () => {
+  it('chooses a doubted endpoint if there is no other', () => {
     const a = endpoint('a');
     a.health.noteSilence(0, false);
     a.health.noteSilence(0, false);
@@ -66,23 +66,23 @@
   });
 
   describe('with endpoints that are leaving', () => {
-    it('takes none of them while another stays', () => {
+    it('chooses none of them while another endpoint is not leaving', () => {
       const [a, b] = [endpoint('a'), endpoint('b')];
-      a.noteLeaveTold(0);
+      a.noteLeaveReceived(0);
       b.outstanding = 20;
       expect(choose([a, b], 10)).toBe('b');
     });
 
-    it('takes one as a last resort, well before it is no longer allowed', () => {
+    it('chooses one as a last resort, until well before the drain time ends', () => {
       const a = endpoint('a');
-      a.noteLeaveTold(0);
+      a.noteLeaveReceived(0);
       expect(choose([a], 100)).toBe('a');
       expect(choose([a], DRAIN_MS * 0.8)).toBeUndefined();
     });
 
-    it('takes none for a second send after that', () => {
+    it('chooses none for a second send after the drain time', () => {
       const [a, b] = [endpoint('a'), endpoint('b')];
-      a.noteLeaveTold(0);
+      a.noteLeaveReceived(0);
       expect(choose([a, b], DRAIN_MS + 330, ['b'])).toBeUndefined();
     });
   });
--- a/packages/relay/src/endpoints/__tests__/chooseEngine.test.ts
+++ b/packages/relay/src/endpoints/__tests__/chooseEngine.test.ts
@@ -64,12 +64,12 @@
 }
 
 describe('chooseEngine', () => {
-  it('takes the least full of those that report', () => {
+  it('chooses the least full engine that reports', () => {
     const engines = [engine('a', 'north', 9_000), engine('b', 'north', 3_000)];
     expect(choose(engines)).toBe('b');
   });
 
-  it('takes one that does not report for as full as the others', () => {
+  it('assumes that an engine without a report is as full as the others', () => {
     const engines = [
       engine('a', 'north', 12_000),
       engine('b', 'north', 20_000),
@@ -78,32 +78,32 @@
     expect(choose(engines)).toBe('a');
   });
 
-  describe('told of the load of another zone', () => {
-    function tellSouth(usedTokens: number, atMs = NOW_MS): void {
+  describe('with a reported load of another zone', () => {
+    function reportSouth(usedTokens: number, atMs = NOW_MS): void {
       const load = {service: 'drafts', zone: 'south', usedTokens};
       zoneLoads.note({...load, backlogTokens: 0}, atMs);
     }
 
-    it('goes there when its own zone is much fuller', () => {
-      tellSouth(2_000);
+    it('chooses the other zone if the own zone is much fuller', () => {
+      reportSouth(2_000);
       const engines = [engine('a', 'north', 20_000), engine('far', 'south')];
       expect(choose(engines)).toBe('far');
     });
 
-    it('stays when the difference is small', () => {
-      tellSouth(2_000);
+    it('stays in the own zone if the difference is small', () => {
+      reportSouth(2_000);
       const engines = [engine('a', 'north', 8_000), engine('far', 'south')];
       expect(choose(engines)).toBe('a');
     });
 
-    it('stays when the other zone is full', () => {
-      tellSouth(28_000);
+    it('stays in the own zone if the other zone is full', () => {
+      reportSouth(28_000);
       const engines = [engine('a', 'north', 20_000), engine('far', 'south')];
       expect(choose(engines)).toBe('a');
     });
 
-    it('does not go by what was told long ago', () => {
-      tellSouth(2_000, NOW_MS - 2_500);
+    it('ignores an outdated report', () => {
+      reportSouth(2_000, NOW_MS - 2_500);
       const engines = [engine('a', 'north', 20_000), engine('far', 'south')];
       expect(choose(engines)).toBe('a');
     });
--- a/packages/relay/src/endpoints/__tests__/endpointDirectory.test.ts
+++ b/packages/relay/src/endpoints/__tests__/endpointDirectory.test.ts
@@ -5,12 +5,12 @@
 import {EndpointDirectory} from '../endpointDirectory.js';
 
 let directory: EndpointDirectory;
-let told: string[];
+let reported: string[];
 
 beforeEach(() => {
   directory = new EndpointDirectory(new VirtualClock(), silentLog);
-  told = [];
-  directory.onDoubtToTell(({id}) => told.push(id));
+  reported = [];
+  directory.onDoubtToTell(({id}) => reported.push(id));
   for (const [index, id] of ['a', 'b', 'c'].entries()) {
     const address = {host: '10.0.0.1', port: 80 + index};
     directory.upsert(testRecord({id, address}), index + 1);
@@ -23,40 +23,40 @@
 }
 
 describe('EndpointDirectory', () => {
-  describe('which doubts it tells other entries of', () => {
-    it('tells of an endpoint that resets', () => {
+  describe('reporting doubts to other entries', () => {
+    it('reports an endpoint that resets connections', () => {
       resetTwice('a');
-      expect(told).toEqual(['a']);
+      expect(reported).toEqual(['a']);
     });
 
-    it('passes on what a peer told', () => {
+    it('forwards a doubt received from a peer', () => {
       directory.get('a')!.health.takeDoubt(0, 1_500);
-      expect(told).toEqual(['a']);
+      expect(reported).toEqual(['a']);
     });
 
-    it('keeps silence to itself: the way there may be cut', () => {
+    it('does not report missing responses, as only its own network path may be broken', () => {
       directory.get('a')!.health.noteSilence(0, false);
       directory.get('a')!.health.noteSilence(0, false);
-      expect(told).toEqual([]);
+      expect(reported).toEqual([]);
     });
 
-    it('keeps errors to itself, which come in clusters by chance', () => {
+    it('does not report errors, as they cluster by chance', () => {
       for (let call = 0; call < 4; call++) {
         directory.get('a')!.health.noteFailure(0);
       }
       expect(directory.get('a')!.health.isDoubted(0)).toBe(true);
-      expect(told).toEqual([]);
+      expect(reported).toEqual([]);
     });
 
-    it('tells of one only when it doubts most of a service', () => {
+    it('stops reporting when it doubts most endpoints of a service', () => {
       resetTwice('a');
       resetTwice('b');
       resetTwice('c');
-      expect(told).toEqual(['a']);
+      expect(reported).toEqual(['a']);
     });
   });
 
-  describe('a registration that is removed after the store returned', () => {
+  describe('a registration that is removed after an outage of the store', () => {
     let clock: VirtualClock;
 
     beforeEach(() => {
@@ -66,7 +66,7 @@
       directory.noteStoreReturned({atMs: 0, lastFailedMs: 0}, 3_000);
     });
 
-    /** Time after the removal in which the endpoint gets work. */
+    /** Time after the removal for which the endpoint may get work. */
     async function workMsAfterRemoval(): Promise<number> {
       const startMs = clock.nowMs();
       directory.remove('a');
@@ -77,14 +77,14 @@
     }
 
     it.each([500, 1_000, 2_000, 2_400, 2_900, 5_000])(
-      'gets no work for two seconds, if it comes %d ms after the return',
+      'allows work for at most two seconds if it is removed %d ms after the outage',
       async (afterMs) => {
         await clock.advance(afterMs);
         expect(await workMsAfterRemoval()).toBeLessThanOrEqual(2_000);
       },
     );
 
-    it('is kept until it would be back, if it is missing at once', async () => {
+    it('is kept until it may be renewed if it is missing right after the outage', async () => {
       await clock.advance(10);
       expect(await workMsAfterRemoval()).toBeGreaterThan(2_000);
     });
--- a/packages/relay/src/endpoints/__tests__/incarnations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/incarnations.test.ts
@@ -9,15 +9,15 @@
 import {EndpointDirectory} from '../endpointDirectory.js';
 
 /*
- * An endpoint that left, and was back under its id, got no work for as long as it
- * was registered, and what was known of its former life was taken for its own.
+ * Guards against state of a former incarnation being applied to an endpoint that restarts
+ * under the same id: such an endpoint got no work for as long as it was registered.
  */
 
-const BORN_MS = 1_764_000_000_000;
+const STARTED_AT_MS = 1_764_000_000_000;
 const DRAIN_MS = 2_000;
 
-/** Longer than a removed endpoint is known. */
-const LONG_MS = 10_000;
+/** Longer than a removed endpoint is kept. */
+const FORGOTTEN_AFTER_MS = 10_000;
 
 let clock: VirtualClock;
 let directory: EndpointDirectory;
@@ -27,7 +27,7 @@
   clock = new VirtualClock();
   directory = new EndpointDirectory(clock, silentLog);
   revision = 0;
-  await clock.advance(LONG_MS);
+  await clock.advance(FORGOTTEN_AFTER_MS);
 });
 
 function register(
@@ -35,7 +35,7 @@
   atRevision = ++revision,
 ): Endpoint {
   const record = testRecord({
-    startedAtMs: BORN_MS,
+    startedAtMs: STARTED_AT_MS,
     service: 'drafts',
     ...changes,
   });
@@ -43,20 +43,20 @@
   return directory.get(record.id)!;
 }
 
-function startAgain(changes: Partial<EndpointRecord> = {}): Endpoint {
-  return register({startedAtMs: BORN_MS + 5_000, ...changes});
+function restart(changes: Partial<EndpointRecord> = {}): Endpoint {
+  return register({startedAtMs: STARTED_AT_MS + 5_000, ...changes});
 }
 
 function mayGetWork(endpoint: Endpoint): boolean {
   return endpoint.mayGetWork(clock.nowMs(), DRAIN_MS);
 }
 
-describe('an endpoint that starts again under its id', () => {
+describe('an endpoint that restarts under its id', () => {
   it.each([
-    ['said that it leaves', () => register({state: EndpointState.DRAINING})],
+    ['registered as draining', () => register({state: EndpointState.DRAINING})],
     ['was removed', () => directory.remove('a')],
     [
-      'reported that it leaves',
+      'reported to its sidecar that it is leaving',
       () => {
         directory.noteLeaving(directory.get('a')!, LeaveSource.REPORT, 900);
       },
@@ -65,43 +65,43 @@
       'failed',
       () => directory.get('a')!.health.noteSilence(clock.nowMs(), true, 1),
     ],
-  ])('gets work like any other after it %s', async (_name, end) => {
+  ])('is a candidate after its former incarnation %s', async (_name, end) => {
     register();
     end();
-    const again = startAgain();
-    expect(again.isCandidate).toBe(true);
-    expect(again.leavesAtMs).toBeUndefined();
-    expect(again.health.isDoubted(clock.nowMs())).toBe(false);
-    // No timer of the former life ends the new one.
-    await clock.advance(LONG_MS);
-    expect(directory.get('a')).toBe(again);
-    expect(mayGetWork(again)).toBe(true);
+    const restarted = restart();
+    expect(restarted.isCandidate).toBe(true);
+    expect(restarted.leavesAtMs).toBeUndefined();
+    expect(restarted.health.isDoubted(clock.nowMs())).toBe(false);
+    // No timer of the former incarnation removes the new one.
+    await clock.advance(FORGOTTEN_AFTER_MS);
+    expect(directory.get('a')).toBe(restarted);
+    expect(mayGetWork(restarted)).toBe(true);
   });
 
-  it('has nothing of what its former life held', () => {
+  it('inherits no state from its former incarnation', () => {
     const former = register();
     former.promisedTokens = 9_000;
     former.outstanding = 3;
     former.load = {value: {running: 6, waiting: 9, slots: 6}, atMs: 0};
-    const again = startAgain();
+    const again = restart();
     expect(again.promisedTokens).toBe(0);
     expect(again.outstanding).toBe(0);
     expect(again.load).toBeUndefined();
     expect(again.report).toBeUndefined();
   });
 
-  it('ends the former life: no run goes on from its memory', () => {
+  it('ends the former incarnation, so that no run resumes from its memory', () => {
     const former = register();
-    startAgain();
+    restart();
     expect(former.hasEnded).toBe(true);
     expect(mayGetWork(former)).toBe(false);
   });
 
-  it('is not doubted for what befell sends to its former life', () => {
+  it('is not doubted for failed sends to its former incarnation', () => {
     const told: string[] = [];
     directory.onDoubtToTell(({id}) => told.push(id));
     const former = register();
-    const again = startAgain();
+    const again = restart();
     former.health.noteSilence(clock.nowMs(), true, 1);
     expect(told).toEqual([]);
     expect(again.health.isDoubted(clock.nowMs())).toBe(false);
@@ -110,63 +110,63 @@
   it('may have moved to another address and zone', () => {
     register();
     const address = {host: '10.0.0.2', port: 81};
-    startAgain({address, zone: 'south'});
+    restart({address, zone: 'south'});
     expect([...directory.ofService('drafts')]).toHaveLength(1);
     expect(directory.atAddress('10.0.0.1:80')).toBeUndefined();
     expect(directory.atAddress('10.0.0.2:81')?.record.zone).toBe('south');
   });
 
-  it('is waited for by requests that lack an endpoint', () => {
+  it('wakes requests that wait for an endpoint', () => {
     register({state: EndpointState.DRAINING});
     let seen = 0;
     directory.onceSeen('drafts', () => seen++);
-    startAgain();
+    restart();
     expect(seen).toBe(1);
   });
 
-  describe('while word of its former life still comes', () => {
+  describe('while messages about its former incarnation still arrive', () => {
     it('is not replaced by an older registration', () => {
       register();
-      const again = startAgain();
+      const again = restart();
       register();
       expect(directory.get('a')).toBe(again);
       expect(again.isCandidate).toBe(true);
     });
 
-    it('is not made to leave by one', () => {
+    it('does not leave because of an older registration as draining', () => {
       register();
-      const again = startAgain();
+      const again = restart();
       register({state: EndpointState.DRAINING});
       expect(again.isCandidate).toBe(true);
     });
 
-    it('is not replaced after it has gone itself', async () => {
+    it('is not replaced by an older registration after its own removal', async () => {
       register();
-      startAgain();
+      restart();
       directory.remove('a');
-      await clock.advance(LONG_MS);
+      await clock.advance(FORGOTTEN_AFTER_MS);
       register();
       expect(directory.get('a')).toBeUndefined();
     });
 
-    it('ignores reports of it, and ends with a report of a later life', () => {
+    it('ignores reports of an earlier start, and ends with a report of a later one', () => {
       const known = register();
-      expect(directory.noteStart(known, BORN_MS - 1)).toBe(false);
-      expect(directory.noteStart(known, BORN_MS)).toBe(true);
+      expect(directory.noteStart(known, STARTED_AT_MS - 1)).toBe(false);
+      expect(directory.noteStart(known, STARTED_AT_MS)).toBe(true);
       expect(directory.get('a')).toBe(known);
-      expect(directory.noteStart(known, BORN_MS + 1)).toBe(false);
+      expect(directory.noteStart(known, STARTED_AT_MS + 1)).toBe(false);
       expect(directory.get('a')).toBeUndefined();
     });
   });
 });
 
 /*
- * A write of an endpoint that the store did not answer may be carried out seconds
- * later: a registration from before its leave then stands behind it.
+ * Guards against late writes: the store may carry out an unanswered write seconds later, so
+ * that a registration from before the leave overwrites the one that announced it.
  */
-describe('an endpoint that said it leaves', () => {
-  it.each([BORN_MS, undefined])(
-    'gets no work for a registration of the same life (start %s)',
+describe('an endpoint that registered as draining', () => {
+  it.each([STARTED_AT_MS, undefined])(
+    'gets no work after a ready registration of the same incarnation (start %s)',
     (startedAtMs) => {
       const known = register({startedAtMs});
       register({startedAtMs, state: EndpointState.DRAINING});
@@ -176,19 +176,19 @@
     },
   );
 
-  it('gets none after its removal either, while and after it is known', async () => {
+  it('gets no work after its removal, neither while it is kept nor later', async () => {
     register();
     register({state: EndpointState.DRAINING});
     directory.remove('a');
     register();
     expect(directory.get('a')!.isCandidate).toBe(false);
-    await clock.advance(LONG_MS);
+    await clock.advance(FORGOTTEN_AFTER_MS);
     expect(directory.get('a')).toBeUndefined();
     register();
     expect(directory.get('a')).toBeUndefined();
   });
 
-  it('is taken for another life after its removal, where none tells a start', () => {
+  it('counts as another incarnation after its removal if start times are unknown', () => {
     const startedAtMs = undefined;
     const known = register({startedAtMs});
     register({startedAtMs, state: EndpointState.DRAINING});
@@ -199,18 +199,18 @@
   });
 });
 
-describe('an endpoint that lapsed and is back in the same life', () => {
-  it('gets work again after it was removed', async () => {
+describe('an endpoint whose registration expired and was renewed', () => {
+  it('is a candidate again', async () => {
     const known = register();
     directory.remove('a');
     expect(known.isCandidate).toBe(false);
     register();
     expect(known.isCandidate).toBe(true);
-    await clock.advance(LONG_MS);
+    await clock.advance(FORGOTTEN_AFTER_MS);
     expect(directory.get('a')).toBe(known);
   });
 
-  it('is not ended by the timer of an earlier removal', async () => {
+  it('is not removed by the timer of an earlier removal', async () => {
     const known = register();
     directory.remove('a');
     await clock.advance(1_000);
@@ -221,7 +221,7 @@
     expect(mayGetWork(known)).toBe(true);
   });
 
-  it('still leaves when it said so to its own sidecar only', () => {
+  it('keeps leaving if it announced that only to its sidecar', () => {
     const known = register();
     directory.noteLeaving(known, LeaveSource.REPORT, 900);
     register();
@@ -230,9 +230,9 @@
 });
 
 describe('two endpoints with one address', () => {
-  it('takes the one that started later, whichever registered last', () => {
-    register({id: 'late', startedAtMs: BORN_MS + 1});
-    register({id: 'early', startedAtMs: BORN_MS});
+  it('are resolved in favour of the later start, not the later registration', () => {
+    register({id: 'late', startedAtMs: STARTED_AT_MS + 1});
+    register({id: 'early', startedAtMs: STARTED_AT_MS});
     const ids = [...directory.all()].map(({id}) => id);
     expect(ids).toEqual(['late']);
   });
--- a/packages/relay/src/endpoints/__tests__/registrations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/registrations.test.ts
@@ -16,8 +16,8 @@
 let clock: VirtualClock;
 let directory: EndpointDirectory;
 let registrations: Registrations;
-let named: Set<string>;
-let configure: () => void;
+let configuredServices: Set<string>;
+let notifyConfigChange: () => void;
 let revision: number;
 
 const codec = {
@@ -32,13 +32,14 @@
 beforeEach(() => {
   clock = new VirtualClock();
   directory = new EndpointDirectory(clock, silentLog);
-  named = new Set(['drafts']);
+  configuredServices = new Set(['drafts']);
   revision = 0;
-  const table = {namesService: (name: string) => named.has(name)};
+  const table = {namesService: (name: string) => configuredServices.has(name)};
   const config = {
     current: table as RouteTable | undefined,
     onChange: (listener: ConfigListener) => {
-      configure = () => listener(table as RouteTable, ConfigSource.STORE);
+      notifyConfigChange = () =>
+        listener(table as RouteTable, ConfigSource.STORE);
     },
   };
   registrations = new Registrations(directory, config, codec, silentLog);
@@ -58,7 +59,7 @@
   return JSON.stringify(testRecord({id, service, address}));
 }
 
-/** Ids of the endpoints that new work is spread over. */
+/** Ids of the endpoints that are eligible for new work. */
 function candidates(): string[] {
   return [...directory.all()]
     .filter(({isCandidate}) => isCandidate)
@@ -72,33 +73,33 @@
     write('b', entry('b', 81));
   });
 
-  it('name endpoints to use', () => {
+  it('add endpoints to the directory', () => {
     expect(candidates()).toEqual(['a', 'b']);
   });
 
-  describe('an entry that cannot be read', () => {
-    it('names no endpoint under a key of its own', () => {
+  describe('an unreadable value', () => {
+    it('adds no endpoint under a new key', () => {
       write('c', 'no entry');
       expect(candidates()).toEqual(['a', 'b']);
     });
 
-    it('takes the endpoint under its key from new work, and no other', () => {
+    it('stops new work for the endpoint with its key only', () => {
       write('a', 'no entry');
       expect(candidates()).toEqual(['b']);
       const known = directory.get('a')!;
       expect(known.mayGetWork(clock.nowMs(), DRAIN_MS)).toBe(false);
     });
 
-    it('gives way to a good one under the key', () => {
+    it('may be replaced by a valid registration under the same key', () => {
       const known = directory.get('a');
       write('a', 'no entry');
       write('a', entry('a', 80));
       expect(candidates()).toEqual(['a', 'b']);
-      // Open runs are still found there.
+      // Open runs still refer to the same object.
       expect(directory.get('a')).toBe(known);
     });
 
-    it('wakes requests that wait for an endpoint once it has given way', () => {
+    it('wakes requests that wait for an endpoint once a valid registration replaces it', () => {
       let seen = 0;
       directory.onceSeen('drafts', () => seen++);
       write('a', 'no entry');
@@ -106,7 +107,7 @@
       expect(seen).toBe(1);
     });
 
-    it('may be removed again', async () => {
+    it('may be deleted, which removes the endpoint', async () => {
       write('a', 'no entry');
       registrations.deleted(`${PREFIX}a`, clock.nowMs());
       await clock.advance(5_000);
@@ -114,25 +115,25 @@
     });
   });
 
-  describe('an entry of a service that no configuration names', () => {
-    it('takes no address from the endpoint that has it', () => {
+  describe('a registration for a service that is not configured', () => {
+    it('does not take over the address of another endpoint', () => {
       write('c', entry('c', 80, 'nobody'));
       expect(candidates()).toEqual(['a', 'b']);
       expect(directory.size).toBe(2);
     });
 
-    it('names an endpoint once a configuration names its service', () => {
+    it('adds the endpoint once its service is configured', () => {
       write('c', entry('c', 82, 'calls'));
-      named.add('calls');
-      configure();
+      configuredServices.add('calls');
+      notifyConfigChange();
       expect(candidates()).toEqual(['a', 'b', 'c']);
     });
 
-    it('names none once it is gone', () => {
+    it('adds nothing if it was deleted before its service is configured', () => {
       write('c', entry('c', 82, 'calls'));
       registrations.deleted(`${PREFIX}c`, clock.nowMs());
-      named.add('calls');
-      configure();
+      configuredServices.add('calls');
+      notifyConfigChange();
       expect(candidates()).toEqual(['a', 'b']);
     });
   });
--- a/packages/relay/src/endpoints/__tests__/saidLeaves.test.ts
+++ b/packages/relay/src/endpoints/__tests__/saidLeaves.test.ts
@@ -8,17 +8,17 @@
 import {EndpointStatements} from '../endpointStatements.js';
 
 const DRAIN_MS = 2_000;
-const BORN_MS = 1_700_000_000_000;
+const STARTED_AT_MS = 1_700_000_000_000;
 
 let clock: VirtualClock;
 let directory: EndpointDirectory;
-let heard: string[];
+let leavingIds: string[];
 
 beforeEach(() => {
   clock = new VirtualClock();
   directory = new EndpointDirectory(clock, silentLog);
-  heard = [];
-  directory.onLeaving(({id}) => heard.push(id));
+  leavingIds = [];
+  directory.onLeaving(({id}) => leavingIds.push(id));
 });
 
 function register(revision: number, startedAtMs?: number): Endpoint {
@@ -26,7 +26,7 @@
   return directory.get('a')!;
 }
 
-function sayLeave(endpoint: Endpoint): void {
+function announceLeave(endpoint: Endpoint): void {
   new EndpointStatements(clock, silentLog, directory, 'e-1').noteAnswer(
     endpoint,
     {limit: {kind: 'none'}, isNotRun: false, saysLeaving: true},
@@ -34,38 +34,38 @@
   );
 }
 
-describe.each([undefined, BORN_MS])(
-  'an endpoint that says in an answer that it leaves (start %s)',
+describe.each([undefined, STARTED_AT_MS])(
+  'an endpoint that announces its leave in an answer (start %s)',
   (startedAtMs) => {
-    it('is no candidate from then on, and gets no work before the bound', async () => {
+    it('is no candidate from then on, and gets no work after the drain time', async () => {
       const endpoint = register(1, startedAtMs);
-      sayLeave(endpoint);
+      announceLeave(endpoint);
       expect(endpoint.isCandidate).toBe(false);
-      expect(heard).toEqual(['a']);
+      expect(leavingIds).toEqual(['a']);
       await clock.advance(DRAIN_MS);
       expect(endpoint.mayGetWork(clock.nowMs(), DRAIN_MS)).toBe(false);
     });
 
-    it('is told of once, also when the store tells of it afterwards', () => {
+    it('notifies listeners once, even if the store shows the leave later', () => {
       const endpoint = register(1, startedAtMs);
-      sayLeave(endpoint);
-      sayLeave(endpoint);
+      announceLeave(endpoint);
+      announceLeave(endpoint);
       const draining = {startedAtMs, state: EndpointState.DRAINING};
       directory.upsert(testRecord(draining), 2);
-      expect(heard).toEqual(['a']);
+      expect(leavingIds).toEqual(['a']);
     });
 
-    // Guards against a registration from before the leave that the store carries out late.
-    it('leaves still when its registration is ready again', () => {
+    // Guards against a registration that was sent before the leave and is stored late.
+    it('keeps leaving when its registration becomes ready again', () => {
       const endpoint = register(1, startedAtMs);
-      sayLeave(endpoint);
+      announceLeave(endpoint);
       register(2, startedAtMs);
       expect(endpoint.isCandidate).toBe(false);
     });
 
-    // Guards against a life that is forgotten with its registration.
-    it('leaves still when its registration is back after it was gone', async () => {
-      sayLeave(register(1, startedAtMs));
+    // Guards against forgetting the announcement when the registration disappears.
+    it('keeps leaving when its registration reappears', async () => {
+      announceLeave(register(1, startedAtMs));
       directory.remove('a');
       await clock.advance(5_000);
       expect(directory.get('a')).toBeUndefined();
@@ -74,14 +74,14 @@
   },
 );
 
-describe('the next life of an endpoint that said that it leaves', () => {
-  it('is ready', () => {
-    sayLeave(register(1, BORN_MS));
-    expect(register(2, BORN_MS + 1).isCandidate).toBe(true);
+describe('the next incarnation of an endpoint that announced its leave', () => {
+  it('is a candidate', () => {
+    announceLeave(register(1, STARTED_AT_MS));
+    expect(register(2, STARTED_AT_MS + 1).isCandidate).toBe(true);
   });
 
-  it('is ready under another id at the same address', () => {
-    sayLeave(register(1));
+  it('is a candidate under another id at the same address', () => {
+    announceLeave(register(1));
     directory.upsert(testRecord({id: 'b'}), 2);
     expect(directory.get('b')!.isCandidate).toBe(true);
   });
--- a/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
+++ b/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
@@ -38,7 +38,7 @@
   return directory.get('a')!;
 }
 
-/** Sends all that the limits allow now; how many these are. */
+/** Makes all sends that the limits allow now; returns their number. */
 function sendAll(limits: SendLimits, endpoint: Endpoint): number {
   for (let count = 0; count < 100; count++) {
     if (!limits.allows(endpoint)) return count;
@@ -62,12 +62,12 @@
     expect(sendAll(limits, endpoint)).toBe(100);
   });
 
-  it('are as few as can be while others may not be seen yet', () => {
+  it('are limited to one while other entries may not be visible yet', () => {
     const limits = limitsOf('e-1', []);
     expect(sendAll(limits, register(2_500))).toBe(1);
   });
 
-  it('are limited by the entries that were seen, once these have lapsed', async () => {
+  it('keep the share of recently visible entries after these have disappeared', async () => {
     let members = ['e-1', 'e-2', 'e-3', 'e-4'];
     const sharers = {self: 'e-1', members: () => members};
     const limits = new SendLimits(
@@ -86,7 +86,7 @@
     expect(sendAll(limits, endpoint)).toBe(8);
   });
 
-  it('may go elsewhere after they were counted', async () => {
+  it('can be released after they were counted', async () => {
     const limits = limitsOf('e-1', ['e-1', 'e-2']);
     await clock.advance(SETTLE_MS);
     const endpoint = register(2_500);
@@ -96,7 +96,7 @@
     expect(sendAll(limits, endpoint)).toBe(1);
   });
 
-  it('never pass the rate in any second, whoever sends when', async () => {
+  it('never exceed the rate in any second, over all entries', async () => {
     const random = createRandom(7);
     const members = Array.from({length: 22}, (_, index) => `e-${index}`);
     const all = members.map((self) => limitsOf(self, members));
@@ -121,7 +121,7 @@
   });
 });
 
-describe('an endpoint that may be cold and has not said so', () => {
+describe('an endpoint that may be cold without having registered that', () => {
   let limits: SendLimits;
 
   beforeEach(async () => {
@@ -129,11 +129,11 @@
     await clock.advance(SETTLE_MS);
   });
 
-  it('is not limited where nothing happened', () => {
+  it('is not limited without a reason to assume a restart', () => {
     expect(sendAll(limits, register(0))).toBe(100);
   });
 
-  it('is limited when its zone is taken back', async () => {
+  it('is limited after the evacuation of its zone ends', async () => {
     const endpoint = register(0);
     zones.noteOrdered('north', 2, clock.nowMs());
     await clock.advance(8_000);
@@ -143,7 +143,7 @@
     expect(sendAll(limits, endpoint)).toBe(100);
   });
 
-  it('is limited when its registration is back', async () => {
+  it('is limited when its registration reappears', async () => {
     const endpoint = register(0);
     directory.remove('a');
     await clock.advance(400);
@@ -151,25 +151,25 @@
     expect(sendAll(limits, endpoint)).toBe(4);
   });
 
-  it('is limited when it says that it has become cold again', () => {
+  it('is limited when it registers that it is cold again', () => {
     register(0);
     expect(sendAll(limits, register(1_000, 2))).toBe(4);
   });
 });
 
-describe('sends to an endpoint that names a rate', () => {
-  /** The bound of the users' rules, and when an entry that was told has to keep it. */
+describe('sends to an endpoint that announces a rate limit', () => {
+  /** Required window of the limit, and the time until an informed entry must comply. */
   const WINDOW_MS = 4_000;
-  const TOLD_MS = 500;
-  const ANSWER_MS = 60;
-  const NEWS_MS = 5;
-  const ASKED_FOR_MS = 24_000;
+  const COMPLIANCE_DELAY_MS = 500;
+  const ANSWER_DELAY_MS = 60;
+  const LINK_DELAY_MS = 5;
+  const LOAD_MS = 24_000;
 
   interface Entry {
     readonly limits: SendLimits;
     readonly directory: EndpointDirectory;
     readonly statements: EndpointStatements;
-    toldMs: number;
+    learnedAtMs: number;
   }
 
   interface Sent {
@@ -188,22 +188,22 @@
       () => SETTLE_MS,
     );
     const statements = new EndpointStatements(clock, silentLog, own, self);
-    return {limits, directory: own, statements, toldMs: Infinity};
+    return {limits, directory: own, statements, learnedAtMs: Infinity};
   }
 
   function endpointOf({directory: own}: Entry): Endpoint {
     return own.get('a')!;
   }
 
-  /** All entries are asked all the time; what reaches the endpoint. */
-  async function askAll(
+  /** Lets all entries send as often as they may; returns the sends to the endpoint. */
+  async function sendContinuously(
     entries: readonly Entry[],
     statement: () => LimitStatement,
   ): Promise<Sent[]> {
     const random = createRandom(11);
     for (const entry of entries) {
       entry.statements.onLimitToTell((_endpoint, told) => {
-        clock.after(NEWS_MS, () => {
+        clock.after(LINK_DELAY_MS, () => {
           for (const other of entries) {
             if (other === entry) continue;
             other.statements.noteLimitTold(endpointOf(other), told);
@@ -212,7 +212,7 @@
       });
     }
     const sent: Sent[] = [];
-    const endMs = clock.nowMs() + ASKED_FOR_MS;
+    const endMs = clock.nowMs() + LOAD_MS;
     while (clock.nowMs() < endMs) {
       await clock.advance(random() * 10);
       const entry = entries[Math.floor(random() * entries.length)]!;
@@ -221,19 +221,19 @@
       entry.limits.take(endpoint);
       const atMs = clock.nowMs();
       sent.push({atMs, entry});
-      clock.after(ANSWER_MS, () => {
+      clock.after(ANSWER_DELAY_MS, () => {
         const head = {limit: statement(), isNotRun: false, saysLeaving: false};
         entry.statements.noteAnswer(endpoint, head, atMs);
-        entry.toldMs = Math.min(entry.toldMs, clock.nowMs());
+        entry.learnedAtMs = Math.min(entry.learnedAtMs, clock.nowMs());
       });
     }
     return sent;
   }
 
-  /** The most in any window from entries that an answer has told. */
-  function mostInWindow(sent: readonly Sent[]): number {
+  /** Maximum number of sends in a window from entries that know the limit from an answer. */
+  function maxInWindow(sent: readonly Sent[]): number {
     const counted = sent.filter(
-      ({atMs, entry}) => atMs >= entry.toldMs + TOLD_MS,
+      ({atMs, entry}) => atMs >= entry.learnedAtMs + COMPLIANCE_DELAY_MS,
     );
     const counts = counted.map(
       ({atMs: fromMs}) =>
@@ -243,44 +243,49 @@
     return Math.max(0, ...counts);
   }
 
-  const FLEETS = [1, 3, 5, 27, 68];
+  const ENTRY_COUNTS = [1, 3, 5, 27, 68];
   const RATES = [0, 0.05, 1.9, 2.9, 12];
-  const CASES = FLEETS.flatMap((count) => RATES.map((rate) => [count, rate]));
+  const CASES = ENTRY_COUNTS.flatMap((count) =>
+    RATES.map((rate) => [count, rate]),
+  );
 
-  function fleetOf(count: number): Entry[] {
+  function createEntries(count: number): Entry[] {
     const names = Array.from({length: count}, (_, index) => `e-${index}`);
     return names.map((self) => entryOf(self, names));
   }
 
-  // Guards against entries that each keep the whole of a rate that is meant for all.
+  // Guards against each entry using the full rate that is meant for all entries together.
   it.each(CASES)(
-    'keep to it over all entries, and use it (%i entries, %d a second)',
+    'comply over all entries and use the rate (%i entries, %d per second)',
     async (count, perS) => {
-      const entries = fleetOf(count!);
+      const entries = createEntries(count!);
       await clock.advance(SETTLE_MS);
-      const sent = await askAll(entries, () => ({kind: 'stated', perS: perS!}));
-      expect(mostInWindow(sent)).toBeLessThanOrEqual(1.5 * perS! * 4 + 5);
-      const lateMs = clock.nowMs() - ASKED_FOR_MS / 2;
+      const sent = await sendContinuously(entries, () => ({
+        kind: 'stated',
+        perS: perS!,
+      }));
+      expect(maxInWindow(sent)).toBeLessThanOrEqual(1.5 * perS! * 4 + 5);
+      const lateMs = clock.nowMs() - LOAD_MS / 2;
       const late = sent.filter(({atMs}) => atMs >= lateMs).length;
-      const rateUsed = late / (ASKED_FOR_MS / 2_000);
+      const rateUsed = late / (LOAD_MS / 2_000);
       expect(rateUsed).toBeGreaterThanOrEqual(perS! >= 1 ? 0.8 * perS! : 0);
     },
   );
 
-  // Guards against a limit that stays with entries which have no part of it.
-  it('are free at all entries once an answer names none', async () => {
-    const entries = fleetOf(27);
+  // Guards against a limit that never ends at entries without a share of it.
+  it('are unlimited at all entries once an answer announces no limit', async () => {
+    const entries = createEntries(27);
     await clock.advance(SETTLE_MS);
-    await askAll(entries, () => ({kind: 'stated', perS: 0.5}));
-    await askAll(entries, () => ({kind: 'none'}));
+    await sendContinuously(entries, () => ({kind: 'stated', perS: 0.5}));
+    await sendContinuously(entries, () => ({kind: 'none'}));
     for (const entry of entries) {
       expect(sendAll(entry.limits, endpointOf(entry))).toBe(100);
     }
   });
 
-  // Guards against a limit that is forgotten with the registration of a life that goes on.
-  it('keep to it after the registration was gone for a while', async () => {
-    const [entry] = fleetOf(1);
+  // Guards against forgetting the limit when the registration disappears for a while.
+  it('comply after the registration was missing for a while', async () => {
+    const [entry] = createEntries(1);
     await clock.advance(SETTLE_MS);
     const {limits, directory: own, statements} = entry!;
     const head = {
@@ -296,8 +301,9 @@
     expect(sendAll(limits, own.get('a')!)).toBe(8);
   });
 
-  // Guards against an entry that nobody tells of the end, and that has no part to learn by.
-  it('are tried once in a while where nobody has heard of it for long', async () => {
+  // Guards against an entry that never learns of the end: it received no report of it, and
+  // without a share of the rate it sends no request whose answer would show it.
+  it('are allowed once in a while if the limit was not confirmed for long', async () => {
     const names = Array.from({length: 27}, (_, index) => `e-${index}`);
     const entries = names.map((self) => entryOf(self, names));
     await clock.advance(SETTLE_MS);
--- a/packages/relay/src/endpoints/__tests__/switchedOff.test.ts
+++ b/packages/relay/src/endpoints/__tests__/switchedOff.test.ts
@@ -18,14 +18,20 @@
   return directory.get('a')!;
 }
 
-describe('an endpoint', () => {
-  it.each([true, false])('is doubted after a reset: %s', (doubts) => {
-    const endpoint = endpointWith({doubts});
-    endpoint.health.noteSilence(0, true, 1);
-    expect(endpoint.health.isDoubted(1)).toBe(doubts);
-  });
+describe('switches for endpoints', () => {
+  it.each([true, false])(
+    'doubts: %s decides if a reset causes a doubt',
+    (doubts) => {
+      const endpoint = endpointWith({doubts});
+      endpoint.health.noteSilence(0, true, 1);
+      expect(endpoint.health.isDoubted(1)).toBe(doubts);
+    },
+  );
 
-  it.each([true, false])('counts as slow after its start: %s', (warmUp) => {
-    expect(endpointWith({warmUp}).isWarming(1)).toBe(warmUp);
-  });
+  it.each([true, false])(
+    'warmUp: %s decides if a new endpoint is warming',
+    (warmUp) => {
+      expect(endpointWith({warmUp}).isWarming(1)).toBe(warmUp);
+    },
+  );
 });
--- a/packages/relay/src/endpoints/__tests__/zoneEvacuations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/zoneEvacuations.test.ts
@@ -8,13 +8,13 @@
 
 let clock: VirtualClock;
 let zones: ZoneEvacuations;
-let told: ZoneStatus[];
+let changes: ZoneStatus[];
 
 beforeEach(() => {
   clock = new VirtualClock();
   zones = new ZoneEvacuations(clock, silentLog, () => BOUND_MS);
-  told = [];
-  zones.onChange((status) => told.push(status));
+  changes = [];
+  zones.onChange((status) => changes.push(status));
 });
 
 function ordered(revision: number, zone = 'north'): ZoneStatus {
@@ -30,27 +30,27 @@
 }
 
 describe('orders to evacuate zones', () => {
-  describe('that the store tells of', () => {
-    it('count from the last moment without them', () => {
+  describe('read from the store', () => {
+    it('are dated from the last time at which the store did not hold them', () => {
       zones.noteOrdered('north', 7, clock.nowMs() - BOUND_MS);
       expect(zones.isEvacuated('north')).toBe(true);
       expect(mayGetWork()).toBe(false);
     });
 
-    it('leave a last resort for part of the bound', async () => {
+    it('leave the zone as a last resort for part of the permitted time', async () => {
       zones.noteOrdered('north', 7, clock.nowMs());
       expect(mayGetWork()).toBe(true);
       await clock.advance(BOUND_MS - 500);
       expect(mayGetWork()).toBe(false);
     });
 
-    it('touch no other zone', () => {
+    it('do not affect other zones', () => {
       zones.noteOrdered('north', 7, -Infinity);
       expect(zones.isEvacuated('south')).toBe(false);
       expect(mayGetWork('south')).toBe(true);
     });
 
-    it('end, and may come again within the bound', async () => {
+    it('may end and be given again, with a new last-resort period', async () => {
       zones.noteOrdered('north', 7, clock.nowMs());
       await clock.advance(400);
       zones.noteEnded('north', 8);
@@ -62,7 +62,7 @@
       expect(mayGetWork()).toBe(false);
     });
 
-    it('are over when a whole reading has none', () => {
+    it('end when a complete read does not contain them', () => {
       zones.noteTold(ordered(7));
       zones.noteTold(ordered(8, 'south'));
       zones.noteRead(new Set(['south']), 20);
@@ -70,41 +70,41 @@
       expect(zones.isEvacuated('south')).toBe(true);
     });
 
-    it('stay when they are newer than a whole reading without them', () => {
+    it('remain if they are newer than a complete read without them', () => {
       zones.noteTold(ordered(30));
       zones.noteRead(new Set(), 20);
       expect(zones.isEvacuated('north')).toBe(true);
     });
   });
 
-  describe('that another entry tells of', () => {
-    it('are kept within the bound, whenever the store had them', async () => {
+  describe('received from another entry', () => {
+    it('end the last resort early, as the time of their writing is unknown', async () => {
       zones.noteTold(ordered(7));
       expect(zones.isEvacuated('north')).toBe(true);
       await clock.advance(BOUND_MS / 2);
       expect(mayGetWork()).toBe(false);
     });
 
-    it('do not come back after their end', () => {
+    it('are not revived after their end', () => {
       zones.noteTold(ordered(7));
       zones.noteTold(ended(9));
       zones.noteTold(ordered(7));
       expect(zones.isEvacuated('north')).toBe(false);
     });
 
-    it('are not taken where the store itself showed later news', () => {
+    it('are ignored if the store was read at a later revision', () => {
       zones.noteRead(new Set(), 20);
       zones.noteTold(ordered(7));
       expect(zones.isEvacuated('north')).toBe(false);
     });
 
-    it('do not end an order of the store that is newer', () => {
+    it('do not end a newer order from the store', () => {
       zones.noteOrdered('north', 7, clock.nowMs());
       zones.noteTold(ended(5));
       expect(zones.isEvacuated('north')).toBe(true);
     });
 
-    it('do not prolong the last resort of one that the store told of', async () => {
+    it('do not extend the last resort of an order read from the store', async () => {
       zones.noteOrdered('north', 7, clock.nowMs());
       await clock.advance(BOUND_MS - 500);
       zones.noteTold(ordered(7));
@@ -112,12 +112,12 @@
     });
   });
 
-  it('are passed on once, so that they spread over links of any shape', () => {
+  it('notify listeners once per change, so that forwarding between entries terminates', () => {
     zones.noteTold(ordered(7));
     zones.noteTold(ordered(7));
     zones.noteOrdered('north', 7, clock.nowMs());
     zones.noteEnded('north', 9);
     zones.noteTold(ended(9));
-    expect(told).toEqual([ordered(7), ended(9)]);
+    expect(changes).toEqual([ordered(7), ended(9)]);
   });
 });
--- a/packages/relay/src/endpoints/chooseEndpoint.ts
+++ b/packages/relay/src/endpoints/chooseEndpoint.ts
@@ -1,33 +1,33 @@
 import type {Random} from '@lilacledge/shared';
 import type {Endpoint} from './endpoint.js';
 
-/** A load that an endpoint told loses half of its weight in this time. */
+/** Half-life of the weight given to a load that an endpoint reported. */
 const LOAD_HALF_LIFE_MS = 250;
 
-/** Slots' worth of load that a hop to another availability zone is worth. */
-const OTHER_ZONE_SLOTS = 0.6;
+/** Penalty for an endpoint in another availability zone, in slots of load. */
+const OTHER_ZONE_PENALTY_SLOTS = 0.6;
 
-/** Slots' worth of load that a chance of failure of one is worth. */
-const FAILURE_SLOTS = 4;
+/** Penalty for a failure probability of 1, in slots of load. */
+const FAILURE_PENALTY_SLOTS = 4;
 
-/** Doubted endpoints come after all others, however loaded these are. */
-const DOUBT_SLOTS = 1_000;
+/** Penalty that ranks doubted endpoints after all others, whatever their load. */
+const DOUBT_PENALTY_SLOTS = 1_000;
 
-/** Slots' worth of load that a slow start is worth. */
-const WARMING_SLOTS = 2;
+/** Penalty for an endpoint that is still slow after its start, in slots of load. */
+const WARMING_PENALTY_SLOTS = 2;
 
-/** What a choice looks at besides the endpoints. */
+/** Inputs of a choice besides the endpoints. */
 export interface ChoiceContext {
   readonly zone: string;
   readonly nowMs: number;
   readonly random: Random;
-  /** Longest time in which a leaving endpoint may still get work. */
+  /** Longest time for which a leaving endpoint may still receive new work. */
   readonly drainMs: number;
-  /** Leaves endpoints out that may not serve, or bear no send now. */
+  /** False for endpoints that must not serve the request or take no send now. */
   readonly accepts?: (endpoint: Endpoint) => boolean;
 }
 
-/** The endpoint for a plain call and why it was taken. */
+/** The endpoint chosen for a plain call, with its score. */
 export interface CallChoice {
   readonly endpoint: Endpoint;
   readonly score: number;
@@ -35,9 +35,9 @@
 }
 
 /**
- * Chooses the endpoint with the least load, as this process's own open
- * requests and the endpoint's own last count show it, among those that were
- * not tried. Leaving endpoints are a last resort.
+ * Chooses the least loaded endpoint that was not tried yet. The load is estimated
+ * from this process's open requests and the endpoint's last report. Leaving
+ * endpoints are a last resort.
  */
 export function chooseForCall(
   endpoints: Iterable<Endpoint>,
@@ -56,28 +56,29 @@
   let chosen: Endpoint | undefined;
   let score = Number.POSITIVE_INFINITY;
   for (const endpoint of candidates) {
-    const own = callScore(endpoint, context) + context.random() * 0.1;
-    if (own >= score) continue;
+    const candidateScore =
+      callScore(endpoint, context) + context.random() * 0.1;
+    if (candidateScore >= score) continue;
     chosen = endpoint;
-    score = own;
+    score = candidateScore;
   }
   if (chosen === undefined) return undefined;
   return {endpoint: chosen, score, candidates: candidates.length};
 }
 
-/** Load of an endpoint in slots, with what else speaks against it. */
+/** Load of an endpoint in slots plus penalties; lower is better. */
 export function callScore(endpoint: Endpoint, context: ChoiceContext): number {
   const {nowMs, zone} = context;
   const {load, health, record} = endpoint;
   let score = endpoint.outstanding;
   if (load !== undefined) {
-    const trust = 0.5 ** ((nowMs - load.atMs) / LOAD_HALF_LIFE_MS);
+    const reportWeight = 0.5 ** ((nowMs - load.atMs) / LOAD_HALF_LIFE_MS);
     const others = load.value.running + load.value.waiting;
-    score += trust * Math.max(0, others - endpoint.outstanding);
+    score += reportWeight * Math.max(0, others - endpoint.outstanding);
   }
-  if (record.zone !== zone) score += OTHER_ZONE_SLOTS;
-  if (endpoint.isWarming(nowMs)) score += WARMING_SLOTS;
-  score += health.failureChance * FAILURE_SLOTS;
-  if (health.isDoubted(nowMs)) score += DOUBT_SLOTS;
+  if (record.zone !== zone) score += OTHER_ZONE_PENALTY_SLOTS;
+  if (endpoint.isWarming(nowMs)) score += WARMING_PENALTY_SLOTS;
+  score += health.failureChance * FAILURE_PENALTY_SLOTS;
+  if (health.isDoubted(nowMs)) score += DOUBT_PENALTY_SLOTS;
   return score;
 }
--- a/packages/relay/src/endpoints/chooseEngine.ts
+++ b/packages/relay/src/endpoints/chooseEngine.ts
@@ -5,50 +5,51 @@
 import {engineUse, estimatedUses} from './engineUse.js';
 import type {EngineUse, EngineUseContext} from './engineUse.js';
 
-/** Time to the first event that a full engine is worth, against an empty one. */
-const FULL_ENGINE_MS = 600;
+/** Penalty for a full engine over an empty one, as time to the first event. */
+const FULL_ENGINE_PENALTY_MS = 600;
 
-/** The same for a hop to another availability zone: it costs priced bytes. */
-const OTHER_ZONE_MS = 20;
+/** Penalty for an engine in another availability zone: traffic between zones costs money. */
+const OTHER_ZONE_PENALTY_MS = 20;
 
 /**
- * The same for an engine in another zone whose sidecar does not report here, as
- * in large fleets: with the load of others unknown, its own zone goes first.
+ * Additional penalty for an engine in another zone whose sidecar does not report to
+ * this entry, as in large fleets. Its load is unknown, so the own zone is preferred.
  */
-const UNREPORTED_MS = 200;
+const UNREPORTED_PENALTY_MS = 200;
 
-/** The same for a chance of failure of one. */
-const FAILURE_MS = 2_000;
+/** Penalty for a failure probability of 1. */
+const FAILURE_PENALTY_MS = 2_000;
 
-/** The same for a slow start: about what it adds to a prompt's reading. */
-const WARMING_MS = 400;
+/** Penalty for a slow start: roughly the time that it adds to the prefill of a prompt. */
+const WARMING_PENALTY_MS = 400;
 
-/** The same for a doubt: all others come first, whatever their load. */
-const DOUBT_MS = 100_000;
+/** Penalty that ranks doubted engines after all others, whatever their load. */
+const DOUBT_PENALTY_MS = 100_000;
 
 /**
- * Share of its memory that an engine may be filled to by the most urgent new
- * generations; the rest is for their growth. Prompts that wait in its queue count, so
- * that little is left to chance.
+ * Share of an engine's memory that the most urgent new generations may fill. The
+ * rest is reserved for the growth of generations; it can be small because queued
+ * prompts are counted as used memory.
  */
-const MOST_FILL = 0.97;
+const MAX_FILL_SHARE = 0.97;
 
-/** How much less each step of an organisation's rank may fill. */
-const FILL_STEP_OF_ORGANISATION = 0.03;
+/** How much less memory may be filled for each rank of the organisation. */
+const ORGANISATION_RANK_STEP = 0.03;
 
 /**
- * The same for a route's rank: a step is over the 0.02 of an engine by which a short
- * check's prompt is smaller than a draft's, and no more than a small prompt.
+ * How much less memory may be filled for each rank of the route. The step exceeds
+ * 0.02, the share of an engine by which a short check's prompt is smaller than a
+ * draft's prompt, and is at most the share of a small prompt.
  */
-const FILL_STEP_OF_ROUTE = 0.05;
+const ROUTE_RANK_STEP = 0.05;
 
-/** Steps of urgency that count; all below share the least fill. */
-const MOST_STEPS = 2;
+/** Highest rank that lowers the limit; less urgent ranks share the limit of this rank. */
+const MAX_RANK = 2;
 
-/** Part of a leaving engine's memory that is moved; some runs end there. */
-const MOVING_SHARE = 0.8;
+/** Share of a leaving engine's memory expected to be moved; other runs end before. */
+const MOVED_SHARE = 0.8;
 
-/** The engine for a generation, and why it was taken. */
+/** An engine that has room for a generation, with its score. */
 export interface EngineChoice {
   readonly endpoint: Endpoint;
   readonly use: EngineUse;
@@ -56,23 +57,23 @@
   readonly candidates: number;
 }
 
-/** What a choice of an engine looks at. */
+/** Inputs of a choice of an engine. */
 export interface EngineChoiceContext extends EngineUseContext {
-  /** How fast the service's engines work. */
+  /** Speed of the service's engines. */
   readonly pace: EnginePace;
-  /** Share of an engine's memory that may be filled. */
+  /** Share of an engine's memory that may be in use, including this generation. */
   readonly fillLimit: number;
-  /** What staying in the zone is worth, when it is more than usual. */
+  /** Replaces the default penalty for engines in another zone. */
   readonly otherZoneMs?: number;
-  /** True for new work, which must not take the room of runs that move. */
+  /** True for new work, which must leave room for runs that move from leaving engines. */
   readonly keepsRoomForLeaving?: boolean;
-  /** Longest time until the engine begins to read that is of use. */
+  /** Longest acceptable wait until the engine begins to prefill the prompt. */
   readonly maxWaitMs?: number;
 }
 
 /**
- * Chooses the engine that is least full once the generation is there; undefined
- * when none has room. Leaving engines get none, nor do disowned ones.
+ * Chooses the best-ranked engine with room for the generation; undefined if none has
+ * room. Engines that are leaving or have an invalid registration are not considered.
  */
 export function chooseEngine(
   endpoints: Iterable<Endpoint>,
@@ -84,7 +85,7 @@
   return rankEngines(endpoints, traits, needTokens, excluded, context)[0];
 }
 
-/** All engines that have room for the generation, the best first. */
+/** Ranks all engines that have room for the generation, best first. */
 export function rankEngines(
   endpoints: Iterable<Endpoint>,
   traits: EngineTraits,
@@ -97,7 +98,7 @@
   const all = [...endpoints];
   const staying = all.filter(({isCandidate}) => isCandidate);
   const reservedTokens = context.keepsRoomForLeaving
-    ? leavingTokens(all, context) / Math.max(1, staying.length)
+    ? tokensLeftToMove(all, context) / Math.max(1, staying.length)
     : 0;
   const uses = estimatedUses(staying, context);
   for (const endpoint of staying) {
@@ -116,14 +117,14 @@
   return ranked.map((choice) => ({...choice, candidates}));
 }
 
-/** Share of an engine's memory that a new generation may help to fill. */
+/** Share of an engine's memory that may be in use after admitting a new generation. */
 export function fillLimit(urgency: Urgency): number {
-  const organisation = Math.min(MOST_STEPS, urgency.organisation);
-  const route = Math.min(MOST_STEPS, urgency.route);
+  const organisation = Math.min(MAX_RANK, urgency.organisation);
+  const route = Math.min(MAX_RANK, urgency.route);
   return (
-    MOST_FILL -
-    organisation * FILL_STEP_OF_ORGANISATION -
-    route * FILL_STEP_OF_ROUTE
+    MAX_FILL_SHARE -
+    organisation * ORGANISATION_RANK_STEP -
+    route * ROUTE_RANK_STEP
   );
 }
 
@@ -137,20 +138,20 @@
   const {nowMs, zone, random} = context;
   const fill = (use.usedTokens + needTokens) / traits.memoryTokens;
   let score = predictedFirstEventMs(use, needTokens, context);
-  score += fill * FULL_ENGINE_MS;
+  score += fill * FULL_ENGINE_PENALTY_MS;
   score += random() * 5;
   if (endpoint.record.zone !== zone) {
-    score += context.otherZoneMs ?? OTHER_ZONE_MS;
-    if (use.reportAgeMs === undefined) score += UNREPORTED_MS;
+    score += context.otherZoneMs ?? OTHER_ZONE_PENALTY_MS;
+    if (use.reportAgeMs === undefined) score += UNREPORTED_PENALTY_MS;
   }
-  if (endpoint.isWarming(nowMs)) score += WARMING_MS;
-  score += endpoint.health.failureChance * FAILURE_MS;
-  if (endpoint.health.isDoubted(nowMs)) score += DOUBT_MS;
+  if (endpoint.isWarming(nowMs)) score += WARMING_PENALTY_MS;
+  score += endpoint.health.failureChance * FAILURE_PENALTY_MS;
+  if (endpoint.health.isDoubted(nowMs)) score += DOUBT_PENALTY_MS;
   return score;
 }
 
-/** Memory of runs that are still at leaving engines and look for room. */
-function leavingTokens(
+/** Estimated memory of runs that still have to move from leaving engines. */
+function tokensLeftToMove(
   endpoints: readonly Endpoint[],
   context: EngineUseContext,
 ): number {
@@ -160,10 +161,10 @@
     if ((endpoint.leavesAtMs ?? Infinity) < context.nowMs) continue;
     tokens += engineUse(endpoint, context).usedTokens;
   }
-  return tokens * MOVING_SHARE;
+  return tokens * MOVED_SHARE;
 }
 
-/** Time until an engine has read what waits there, and this prompt too. */
+/** Time to prefill the engine's backlog and this prompt. */
 function predictedFirstEventMs(
   use: EngineUse,
   promptTokens: number,
--- a/packages/relay/src/endpoints/endpoint.ts
+++ b/packages/relay/src/endpoints/endpoint.ts
@@ -6,71 +6,71 @@
 import type {EndpointLoad} from '../ports.js';
 import {ALL_ON} from '../switches.js';
 import type {Switches} from '../switches.js';
-import {EndpointTerms} from './endpointTerms.js';
+import {AnnouncedState} from './endpointTerms.js';
 import {NO_EVACUATIONS} from './zoneEvacuations.js';
-import type {ZoneWork} from './zoneEvacuations.js';
+import type {ZoneAvailability} from './zoneEvacuations.js';
 
-/** Something that was learned at some time. */
-export interface Dated<T> {
+/** A value and the time at which it was received. */
+export interface Timestamped<T> {
   readonly value: T;
   readonly atMs: number;
 }
 
-/** Where it was learned that an endpoint leaves. */
+/** Source from which this process learned that an endpoint is leaving. */
 export const LeaveSource = {
   STORE: 'store',
   REPORT: 'report',
   /** The endpoint's own answer. */
   ANSWER: 'answer',
-  /** An answer of another life at its address. */
+  /** Another incarnation answered at its address. */
   REPLACED: 'replaced',
   REMOVED: 'removed',
 } as const;
 export type LeaveSource = (typeof LeaveSource)[keyof typeof LeaveSource];
 
-/** One life of an endpoint, with what this process knows of it. */
+/** State that this process keeps of one incarnation of an endpoint. */
 export class Endpoint {
   readonly health: OutcomeHealth;
-  /** Requests that this process has open there. */
+  /** Open requests of this process to the endpoint. */
   outstanding = 0;
-  /** The store's revision of its registration. */
+  /** Store revision of its registration. */
   revision = 0;
-  /** Memory of runs that this process is moving there. */
+  /** Memory of runs that this process is about to place at the endpoint. */
   promisedTokens = 0;
-  load: Dated<EndpointLoad> | undefined;
-  report: Dated<EngineLoad> | undefined;
-  /** When it is expected to be gone; undefined while nobody said. */
+  load: Timestamped<EndpointLoad> | undefined;
+  report: Timestamped<EngineLoad> | undefined;
+  /** Expected time of its shutdown, if announced. */
   leavesAtMs: number | undefined;
-  /** When the store dropped its entry. */
+  /** When its registration was removed from the store. */
   removedAtMs: number | undefined;
-  /** True once another life has its id or its address: nothing of it is left. */
+  /** True once another incarnation has taken over its id or address. */
   hasEnded = false;
   /**
-   * True while its key in the store holds an entry that names no endpoint: another
-   * writer's. Open work goes on, new work goes elsewhere.
+   * True while its key in the store holds a value that is no usable registration,
+   * written by another program. Open requests continue; new ones go elsewhere.
    */
-  isDisowned = false;
-  /** Ends the time for which a removed endpoint is known. */
-  cancelDrop: CancelTimer = () => {};
-  /** True once it registered that it leaves, which it does not take back. */
-  hasSaidLeave = false;
-  /** True when the store itself showed that it leaves. */
-  private isLeaveInStore = false;
-  /** What the store and other processes tell of its leave. */
-  private leaves: readonly LeaveNews[] = [];
-  /** Until when it is cold, as it said. */
+  hasInvalidRegistration = false;
+  /** Cancels the timer that forgets the endpoint after its removal. */
+  cancelExpiry: CancelTimer = () => {};
+  /** True once it registered as draining, which an incarnation never reverts. */
+  hasReportedLeave = false;
+  /** True if the store shows that it is leaving. */
+  private isLeavingInStore = false;
+  /** Leave notices from the store and from other processes. */
+  private leaveNotices: readonly LeaveNews[] = [];
+  /** When it stops being cold, according to its registration. */
   private warmUntilMs: number;
-  /** When it was last back after its registration had lapsed. */
-  backAtMs: number | undefined;
+  /** When its registration last reappeared after it had expired. */
+  returnedAtMs: number | undefined;
 
   constructor(
     public record: EndpointRecord,
     nowMs: number,
     onDoubt: (endpoint: Endpoint, doubt: Doubt) => void = () => {},
     private readonly switches: Switches = ALL_ON,
-    private readonly zones: ZoneWork = NO_EVACUATIONS,
-    /** What it says of itself in its answers. */
-    readonly terms = new EndpointTerms(),
+    private readonly zones: ZoneAvailability = NO_EVACUATIONS,
+    /** State that it announces in its answers. */
+    readonly terms = new AnnouncedState(),
   ) {
     const {doubts} = switches;
     this.health = new OutcomeHealth((doubt) => onDoubt(this, doubt), doubts);
@@ -82,105 +82,109 @@
   }
 
   get isLeaving(): boolean {
-    return this.allLeaves.length > 0;
+    return this.allLeaveNotices.length > 0;
   }
 
-  /** The first news of its leave of each kind; what it said itself is never taken back. */
-  private get allLeaves(): readonly LeaveNews[] {
+  /** The first leave notice of each kind. The endpoint's own announcement is never reverted. */
+  private get allLeaveNotices(): readonly LeaveNews[] {
     const {leavingSinceMs: atMs} = this.terms;
-    if (atMs === undefined) return this.leaves;
-    return [...this.leaves, {kind: 'told', atMs}];
+    if (atMs === undefined) return this.leaveNotices;
+    return [...this.leaveNotices, {kind: 'told', atMs}];
   }
 
-  /** True while it is among those that new work is spread over. */
+  /** True if the endpoint is eligible for new work in general. */
   get isCandidate(): boolean {
-    const {isLeaving, isDisowned, hasEnded, record, zones} = this;
-    if (isLeaving || isDisowned || hasEnded) return false;
+    const {isLeaving, hasInvalidRegistration, hasEnded, record, zones} = this;
+    if (isLeaving || hasInvalidRegistration || hasEnded) return false;
     return !zones.isEvacuated(record.zone);
   }
 
   /**
-   * True while work may still be sent there: always until it leaves or its zone is
-   * evacuated, and then for part of the time in which that is allowed, as a last
-   * resort.
+   * True if work may still be sent to the endpoint. While it is leaving or its zone is
+   * evacuated, it remains a last resort for part of the permitted time.
    */
   mayGetWork(nowMs: number, drainMs: number): boolean {
-    if (this.isDisowned || this.hasEnded) return false;
+    if (this.hasInvalidRegistration || this.hasEnded) return false;
     if (!this.zones.mayGetWork(this.record.zone, nowMs)) return false;
-    return this.allLeaves.every(
-      (news) => nowMs < lastWorkEndsMs(news, drainMs),
+    return this.allLeaveNotices.every(
+      (notice) => nowMs < lastWorkEndsMs(notice, drainMs),
     );
   }
 
   /**
-   * Until when it is to be taken for cold, if that lasts `durationMs`: it may have
-   * become so before it says so, while its registration or its zone was away.
+   * Time until which the endpoint is treated as cold for a warm-up of `durationMs`. It
+   * may have become cold unnoticed while its registration was missing or its zone
+   * evacuated, before it registers a new warm-up itself.
    */
   coldUntilMs(durationMs: number): number {
-    const takenBackAtMs = this.zones.takenBackAtMs(this.record.zone);
+    const takenBackAtMs = this.zones.evacuationEndedAtMs(this.record.zone);
     const sinceMs = Math.max(
-      this.backAtMs ?? -Infinity,
+      this.returnedAtMs ?? -Infinity,
       takenBackAtMs ?? -Infinity,
     );
     return Math.max(this.warmUntilMs, sinceMs + durationMs);
   }
 
-  /** True while the endpoint is slow after its start. */
+  /** True while the endpoint is still slow after its start. */
   isWarming(nowMs: number): boolean {
     return this.switches.warmUp && nowMs < this.warmUntilMs;
   }
 
   /**
-   * Takes a newer registration of the same life, which was made after `clearMs`;
-   * true when the endpoint began to leave. One that is ready after its
-   * removal had lapsed and is back.
+   * Applies a newer registration of the same incarnation; the store did not hold it yet at
+   * `unchangedAtMs`. Returns true if the endpoint began to leave. A ready registration
+   * after a removal means that the former one had expired.
    */
-  update(record: EndpointRecord, nowMs: number, clearMs = nowMs): boolean {
+  update(
+    record: EndpointRecord,
+    nowMs: number,
+    unchangedAtMs = nowMs,
+  ): boolean {
     this.record = record;
-    this.isDisowned = false;
+    this.hasInvalidRegistration = false;
     this.removedAtMs = undefined;
-    this.cancelDrop();
+    this.cancelExpiry();
     this.warmUntilMs = nowMs + record.warmupLeftMs;
     if (record.state === EndpointState.DRAINING) {
-      this.hasSaidLeave = true;
-      return this.noteLeavingInStore(clearMs);
+      this.hasReportedLeave = true;
+      return this.noteLeavingInStore(unchangedAtMs);
     }
-    if (this.isLeaveInStore) this.takeBackLeave();
+    if (this.isLeavingInStore) this.clearLeave();
     return false;
   }
 
   /**
-   * The store shows that it leaves, and did not at `clearMs`; true when this is the
-   * first word of it.
+   * Records that the store shows it leaving, which it did not at `unchangedAtMs`.
+   * Returns true for the first leave notice of any kind.
    */
-  noteLeavingInStore(clearMs: number): boolean {
-    this.isLeaveInStore = true;
-    return this.noteLeave({kind: 'stored', clearMs});
+  noteLeavingInStore(unchangedAtMs: number): boolean {
+    this.isLeavingInStore = true;
+    return this.addLeaveNotice({kind: 'stored', clearMs: unchangedAtMs});
   }
 
-  /** Another process told at `atMs` that it leaves; true at the first word of it. */
-  noteLeaveTold(atMs: number, leavesAtMs?: number): boolean {
+  /** Records a leave notice from another process; returns true for the first notice. */
+  noteLeaveReceived(atMs: number, leavesAtMs?: number): boolean {
     if (leavesAtMs !== undefined) this.leavesAtMs = leavesAtMs;
-    return this.noteLeave({kind: 'told', atMs});
+    return this.addLeaveNotice({kind: 'told', atMs});
   }
 
-  /** Its own answer says that it leaves; true when this is the first word of it. */
-  noteSaidLeave(nowMs: number): boolean {
+  /** Records that its own answer announced the leave; returns true for the first notice. */
+  noteLeaveAnnounced(nowMs: number): boolean {
     const isFirst = !this.isLeaving;
     this.terms.noteLeaving(nowMs);
     return isFirst;
   }
 
-  private noteLeave(news: LeaveNews): boolean {
+  private addLeaveNotice(notice: LeaveNews): boolean {
     const isFirst = !this.isLeaving;
-    const isKnown = this.leaves.some(({kind}) => kind === news.kind);
-    if (!isKnown) this.leaves = [...this.leaves, news];
+    const isKnown = this.leaveNotices.some(({kind}) => kind === notice.kind);
+    if (!isKnown) this.leaveNotices = [...this.leaveNotices, notice];
     return isFirst;
   }
 
-  private takeBackLeave(): void {
-    this.isLeaveInStore = false;
-    this.leaves = [];
+  private clearLeave(): void {
+    this.isLeavingInStore = false;
+    this.leaveNotices = [];
     this.leavesAtMs = undefined;
   }
 
--- a/packages/relay/src/endpoints/endpointDirectory.ts
+++ b/packages/relay/src/endpoints/endpointDirectory.ts
@@ -8,39 +8,39 @@
 import {ALL_ON} from '../switches.js';
 import type {Switches} from '../switches.js';
 import {Endpoint, LeaveSource} from './endpoint.js';
-import {Lives} from './lives.js';
+import {EndpointIncarnations} from './lives.js';
 import {StoreContactHistory} from './storeContact.js';
 import type {StoreContact} from './storeContact.js';
 import {NO_EVACUATIONS} from './zoneEvacuations.js';
-import type {ZoneWork} from './zoneEvacuations.js';
+import type {ZoneAvailability} from './zoneEvacuations.js';
 
 /**
- * An endpoint whose entry is gone is known for this much longer: until then it may
- * be a last resort, for as long as `Endpoint.mayGetWork` allows. Below the tightest
- * bound on work for a leaving endpoint (2 s).
+ * How long an endpoint is kept after its registration was removed. It may be a last
+ * resort until then, as far as `Endpoint.mayGetWork` allows. Less than the shortest
+ * permitted time for work at a leaving endpoint (2 s).
  */
-const LAST_RESORT_MS = 1_500;
+const REMOVED_ENDPOINT_TTL_MS = 1_500;
 
 /**
- * A process that doubts more than this share of a service is likely to be cut
- * off itself: its doubts are not worth telling.
+ * A process that doubts more than this share of a service's endpoints probably has a
+ * network problem of its own, so it does not report its doubts to other entries.
  */
-const MOST_DOUBTED_SHARE = 0.34;
+const MAX_DOUBTED_SHARE = 0.34;
 
 /**
- * Doubts that other entries should hear of. A silence may be this process's own
- * fault; errors come in clusters by chance where a service answers one call in
- * seven with one, and two of three plain endpoints would be left.
+ * Causes of doubts that are reported to other entries. A missing response may be this
+ * process's own fault. Errors are excluded because they cluster by chance: with one
+ * error in seven calls, a service would be left with two of three endpoints.
  */
-const TOLD_CAUSES: ReadonlySet<DoubtCause> = new Set([
+const SHARED_DOUBT_CAUSES: ReadonlySet<DoubtCause> = new Set([
   DoubtCause.RESET,
   DoubtCause.PEER,
 ]);
 
-/** Hears of an endpoint that is to be avoided for some time. */
+/** Called with an endpoint that should be avoided for some time. */
 export type DoubtListener = (endpoint: Endpoint, forMs: number) => void;
 
-/** All endpoints that this process knows, by id and by service. */
+/** The endpoints known to this process, by id and by service. */
 export class EndpointDirectory {
   private readonly byId = new Map<string, Endpoint>();
   private readonly byService = new Map<string, Set<Endpoint>>();
@@ -49,16 +49,16 @@
   private readonly candidateListeners: Array<() => void> = [];
   private readonly seenListeners = new Set<(service: string) => void>();
   private readonly contact: StoreContactHistory;
-  private readonly lives: Lives;
+  private readonly incarnations: EndpointIncarnations;
 
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLogger,
     private readonly switches: Switches = ALL_ON,
-    private readonly zones: ZoneWork = NO_EVACUATIONS,
+    private readonly zones: ZoneAvailability = NO_EVACUATIONS,
   ) {
     this.contact = new StoreContactHistory(clock);
-    this.lives = new Lives(clock);
+    this.incarnations = new EndpointIncarnations(clock);
   }
 
   get size(): number {
@@ -73,41 +73,44 @@
     return this.byId.values();
   }
 
-  /** All endpoints of a service, leaving ones too. */
+  /** All endpoints of a service, including leaving ones. */
   ofService(service: string): Iterable<Endpoint> {
     return this.byService.get(service) ?? [];
   }
 
-  /** How current the view is, for the services that callers may ask for. */
+  /** Completeness of the view of endpoints of the given services. */
   viewOf(services: readonly string[]): ViewState {
-    if (services.some((service) => this.isLacking(service))) {
+    if (services.some((service) => this.hasNoCandidate(service))) {
       return ViewState.LACKING;
     }
-    return this.contact.isUnsettled ? ViewState.UNSETTLED : ViewState.SETTLED;
+    return this.contact.isRecovering ? ViewState.UNSETTLED : ViewState.SETTLED;
   }
 
-  /** Since when the store answers, or does not. */
+  /** For how long the store has been available or unavailable. */
   get storeContact(): StoreContact {
     return this.contact.now;
   }
 
-  /** Calls `listener` when an endpoint of the service is seen; once at most. */
+  /**
+   * Calls `listener` once when an endpoint of the service becomes a candidate. Returns a
+   * function that removes the listener.
+   */
   onceSeen(service: string, listener: () => void): () => void {
-    const own = (seen: string): void => {
+    const onSeen = (seen: string): void => {
       if (seen !== service) return;
-      this.seenListeners.delete(own);
+      this.seenListeners.delete(onSeen);
       listener();
     };
-    this.seenListeners.add(own);
-    return () => this.seenListeners.delete(own);
+    this.seenListeners.add(onSeen);
+    return () => this.seenListeners.delete(onSeen);
   }
 
-  /** True when no endpoint of the service stays, or none is known. */
-  private isLacking(service: string): boolean {
+  /** True if no endpoint of the service is a candidate. */
+  private hasNoCandidate(service: string): boolean {
     return [...this.ofService(service)].every(({isCandidate}) => !isCandidate);
   }
 
-  /** The newest endpoint that registered an address. */
+  /** The endpoint most recently added with the given address. */
   atAddress(address: string): Endpoint | undefined {
     let found: Endpoint | undefined;
     for (const endpoint of this.byId.values()) {
@@ -116,7 +119,7 @@
     return found;
   }
 
-  /** Calls `listener` once for each endpoint that begins to leave. */
+  /** Calls `listener` for each endpoint that begins to leave. */
   onLeaving(listener: (endpoint: Endpoint) => void): void {
     this.leaveListeners.push(listener);
   }
@@ -126,65 +129,66 @@
     this.candidateListeners.push(listener);
   }
 
-  /** Calls `listener` for each doubt that other entries should hear of. */
+  /** Calls `listener` for each doubt that should be reported to other entries. */
   onDoubtToTell(listener: DoubtListener): void {
     this.doubtListeners.push(listener);
   }
 
   /**
-   * The store answers again; entries may be missing for a while. `settleMs` after
-   * the end of what was wrong, the bounds hold again.
+   * Records that the store is available again. Registrations may be missing for a while;
+   * `settleMs` after the end of the outage, the usual bounds apply again.
    */
-  noteStoreReturned(seen: StoreReturn, settleMs: number): void {
-    this.contact.noteReturned(seen, settleMs);
+  noteStoreReturned(recovery: StoreReturn, settleMs: number): void {
+    this.contact.noteAvailable(recovery, settleMs);
   }
 
-  /** The store stopped answering. */
+  /** Records that the store has become unavailable. */
   noteStoreLost(): void {
-    this.contact.noteLost();
+    this.contact.noteUnavailable();
   }
 
   /**
-   * An endpoint registered itself, or changed its registration, after `clearMs`.
+   * Applies a new or changed registration that the store did not hold yet at
+   * `unchangedAtMs`.
    */
   upsert(
     record: EndpointRecord,
     revision: number,
-    clearMs = this.clock.nowMs(),
+    unchangedAtMs = this.clock.nowMs(),
   ): void {
     const {id} = record;
     const known = this.byId.get(id);
     if (known !== undefined && revision < known.revision) return;
-    const told = this.lives.successionOf(known, record);
-    switch (told) {
+    const order = this.incarnations.compareWithKnown(known, record);
+    switch (order) {
       case Succession.SAME:
-        if (known === undefined) this.add(record, revision, clearMs);
-        else this.refresh(known, record, revision, clearMs);
+        if (known === undefined) this.add(record, revision, unchangedAtMs);
+        else this.refresh(known, record, revision, unchangedAtMs);
         return;
       case Succession.LATER:
         if (known !== undefined) this.end(known);
-        this.add(record, revision, clearMs);
+        this.add(record, revision, unchangedAtMs);
         return;
       case Succession.FORMER:
       case Succession.UNPROVEN:
         this.log.warn('endpoint.outdated', {
           endpoint: id,
-          cause: told,
+          cause: order,
           startedAtMs: record.startedAtMs,
           knownStartedAtMs: known?.record.startedAtMs,
         });
-        if (told === Succession.UNPROVEN) this.disown(id);
+        if (order === Succession.UNPROVEN) this.invalidate(id);
         return;
       default:
-        assertNever(told);
+        assertNever(order);
     }
   }
 
-  /** The key of an endpoint holds an entry that names none. */
-  disown(id: string): void {
+  /** Marks an endpoint whose key no longer holds a usable registration. */
+  invalidate(id: string): void {
     const known = this.byId.get(id);
-    if (known === undefined || known.isDisowned) return;
-    known.isDisowned = true;
+    if (known === undefined || known.hasInvalidRegistration) return;
+    known.hasInvalidRegistration = true;
     this.log.warn('endpoint.disowned', {
       endpoint: id,
       service: known.record.service,
@@ -192,10 +196,10 @@
     });
   }
 
-  /** Another life of the same id, or of another, has taken its place. */
+  /** Forgets an endpoint after another incarnation has taken over its id or address. */
   private end(endpoint: Endpoint): void {
     endpoint.hasEnded = true;
-    endpoint.cancelDrop();
+    endpoint.cancelExpiry();
     this.log.info('endpoint.ended', {
       endpoint: endpoint.id,
       service: endpoint.record.service,
@@ -205,7 +209,11 @@
     this.forget(endpoint);
   }
 
-  private add(record: EndpointRecord, revision: number, clearMs: number): void {
+  private add(
+    record: EndpointRecord,
+    revision: number,
+    unchangedAtMs: number,
+  ): void {
     const nowMs = this.clock.nowMs();
     const endpoint = new Endpoint(
       record,
@@ -213,7 +221,7 @@
       (doubted, doubt) => this.noteDoubt(doubted, doubt),
       this.switches,
       this.zones,
-      this.lives.termsOf(record),
+      this.incarnations.announcedStateOf(record),
     );
     endpoint.revision = revision;
     if (this.isSuperseded(endpoint)) return;
@@ -229,23 +237,27 @@
       state: record.state,
       startedAtMs: record.startedAtMs,
     });
-    this.refresh(endpoint, record, revision, clearMs, true);
+    this.refresh(endpoint, record, revision, unchangedAtMs, true);
   }
 
   private refresh(
     endpoint: Endpoint,
     record: EndpointRecord,
     revision: number,
-    clearMs: number,
+    unchangedAtMs: number,
     isNew = false,
   ): void {
     const wasCandidate = !isNew && endpoint.isCandidate;
     endpoint.revision = revision;
-    const beganToLeave = endpoint.update(record, this.clock.nowMs(), clearMs);
-    if (beganToLeave) this.tell(endpoint, LeaveSource.STORE, clearMs);
+    const isNewLeave = endpoint.update(
+      record,
+      this.clock.nowMs(),
+      unchangedAtMs,
+    );
+    if (isNewLeave) this.emitLeave(endpoint, LeaveSource.STORE, unchangedAtMs);
     if (wasCandidate || !endpoint.isCandidate) return;
     if (!isNew) {
-      endpoint.backAtMs = this.clock.nowMs();
+      endpoint.returnedAtMs = this.clock.nowMs();
       this.log.info('endpoint.back', {endpoint: endpoint.id});
     }
     for (const listener of this.seenListeners) listener(record.service);
@@ -253,9 +265,10 @@
   }
 
   /**
-   * Entries of endpoints that died with the store away stay for a while beside
-   * those that have their addresses now: the later start is the true one, or where
-   * none is told, the later registration.
+   * True if a later endpoint already has the address; otherwise ends earlier endpoints
+   * with it. Registrations of endpoints that died during an outage of the store remain
+   * for a while next to those of their successors. The later start time wins or, without
+   * start times, the later registration.
    */
   private isSuperseded(added: Endpoint): boolean {
     const address = formatAddress(added.record.address);
@@ -267,31 +280,33 @@
     return false;
   }
 
-  /** The store no longer has the entry, which it had at `clearMs`. */
-  remove(id: string, clearMs = this.clock.nowMs()): void {
+  /** Applies the removal of a registration that the store still held at `unchangedAtMs`. */
+  remove(id: string, unchangedAtMs = this.clock.nowMs()): void {
     const endpoint = this.byId.get(id);
     if (endpoint === undefined || endpoint.removedAtMs !== undefined) return;
     const nowMs = this.clock.nowMs();
     endpoint.removedAtMs = nowMs;
-    const {lapseLeftMs: lapseMs} = this.contact;
-    if (lapseMs > 0 && !endpoint.isLeaving) {
-      const keptMs = Math.round(lapseMs);
+    const {expiryGraceLeftMs: graceMs} = this.contact;
+    if (graceMs > 0 && !endpoint.isLeaving) {
+      const keptMs = Math.round(graceMs);
       this.log.info('endpoint.lapsed', {endpoint: id, keptMs});
-      this.dropAfter(endpoint, lapseMs);
+      this.forgetAfter(endpoint, graceMs);
       return;
     }
-    if (endpoint.noteLeavingInStore(clearMs)) {
-      this.tell(endpoint, LeaveSource.REMOVED, clearMs);
+    if (endpoint.noteLeavingInStore(unchangedAtMs)) {
+      this.emitLeave(endpoint, LeaveSource.REMOVED, unchangedAtMs);
     }
-    this.dropAfter(endpoint, LAST_RESORT_MS);
+    this.forgetAfter(endpoint, REMOVED_ENDPOINT_TTL_MS);
   }
 
-  private dropAfter(endpoint: Endpoint, delayMs: number): void {
-    endpoint.cancelDrop();
-    endpoint.cancelDrop = this.clock.after(delayMs, () => this.drop(endpoint));
+  private forgetAfter(endpoint: Endpoint, delayMs: number): void {
+    endpoint.cancelExpiry();
+    endpoint.cancelExpiry = this.clock.after(delayMs, () =>
+      this.drop(endpoint),
+    );
   }
 
-  /** An endpoint is known to leave, from any source. */
+  /** Records that the endpoint is leaving, and the source of the notice. */
   noteLeaving(
     endpoint: Endpoint,
     source: LeaveSource,
@@ -300,20 +315,20 @@
     const nowMs = this.clock.nowMs();
     const leavesAtMs =
       leavesInMs === undefined ? undefined : nowMs + leavesInMs;
-    if (endpoint.noteLeaveTold(nowMs, leavesAtMs)) {
-      this.tell(endpoint, source, nowMs);
+    if (endpoint.noteLeaveReceived(nowMs, leavesAtMs)) {
+      this.emitLeave(endpoint, source, nowMs);
     }
   }
 
-  /** The endpoint's own answer says that it leaves. */
-  noteSaidLeave(endpoint: Endpoint): void {
+  /** Records that the endpoint's own answer announced its leave. */
+  noteLeaveAnnounced(endpoint: Endpoint): void {
     const nowMs = this.clock.nowMs();
-    if (endpoint.noteSaidLeave(nowMs)) {
-      this.tell(endpoint, LeaveSource.ANSWER, nowMs);
+    if (endpoint.noteLeaveAnnounced(nowMs)) {
+      this.emitLeave(endpoint, LeaveSource.ANSWER, nowMs);
     }
   }
 
-  /** The address answers for another life: this one has ended. */
+  /** Ends the endpoint: another incarnation answers at its address. */
   noteReplaced(endpoint: Endpoint): void {
     if (endpoint.hasEnded) return;
     this.noteLeaving(endpoint, LeaveSource.REPLACED);
@@ -321,8 +336,9 @@
   }
 
   /**
-   * An engine at the endpoint's address told when it started; false when that is
-   * not the life which is known, and its report says nothing of that one.
+   * Compares the start time in an engine's report with the known incarnation. Returns
+   * false if the report is from another incarnation and must be ignored; a later one
+   * ends the known endpoint.
    */
   noteStart(endpoint: Endpoint, startedAtMs: number | undefined): boolean {
     const knownMs = endpoint.record.startedAtMs;
@@ -332,7 +348,7 @@
   }
 
   private noteDoubt(endpoint: Endpoint, doubt: Doubt): void {
-    // A send to a former life tells nothing of the one that has its id now.
+    // Sends to a former incarnation say nothing about the current one.
     if (endpoint.hasEnded) return;
     const {service} = endpoint.record;
     const {cause, forMs} = doubt;
@@ -348,12 +364,16 @@
       endpoints: group.length,
     });
     const isMostOfService =
-      doubted > Math.max(1, group.length * MOST_DOUBTED_SHARE);
-    if (!TOLD_CAUSES.has(cause) || isMostOfService) return;
+      doubted > Math.max(1, group.length * MAX_DOUBTED_SHARE);
+    if (!SHARED_DOUBT_CAUSES.has(cause) || isMostOfService) return;
     for (const listener of this.doubtListeners) listener(endpoint, forMs);
   }
 
-  private tell(endpoint: Endpoint, source: LeaveSource, sinceMs: number): void {
+  private emitLeave(
+    endpoint: Endpoint,
+    source: LeaveSource,
+    sinceMs: number,
+  ): void {
     this.log.info('endpoint.leaving', {
       endpoint: endpoint.id,
       service: endpoint.record.service,
@@ -379,11 +399,11 @@
     const {id, record} = endpoint;
     if (this.byId.get(id) === endpoint) this.byId.delete(id);
     this.byService.get(record.service)?.delete(endpoint);
-    this.lives.noteGone(endpoint);
+    this.incarnations.noteGone(endpoint);
   }
 }
 
-/** True when the first of two endpoints with one address has it now. */
+/** True if the first of two endpoints with the same address is the later one. */
 function isLater(first: Endpoint, second: Endpoint): boolean {
   const firstMs = first.record.startedAtMs;
   const secondMs = second.record.startedAtMs;
--- a/packages/relay/src/endpoints/endpointStatements.ts
+++ b/packages/relay/src/endpoints/endpointStatements.ts
@@ -6,16 +6,16 @@
 import type {Endpoint} from './endpoint.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
-/** What an endpoint says of itself in the head of an answer. */
-type EndpointStatement = Pick<
+/** State that an endpoint announces in the head of an answer. */
+type Announcement = Pick<
   AnswerHead,
   'limit' | 'isNotRun' | 'saysLeaving' | 'restMs'
 >;
 
-/** Hears of a limit that an endpoint names, or names no more. */
-export type LimitListener = (endpoint: Endpoint, told: ToldLimit) => void;
+/** Called when the rate limit that an endpoint announces begins, changes or ends. */
+export type LimitListener = (endpoint: Endpoint, report: ToldLimit) => void;
 
-/** Takes over what endpoints say of themselves in their answers, kept for each life. */
+/** Applies the state that endpoints announce in their answers, per incarnation. */
 export class EndpointStatements {
   private readonly limitListeners: LimitListener[] = [];
 
@@ -24,16 +24,16 @@
     private readonly log: DecisionLogger,
     private readonly endpoints: Pick<
       EndpointDirectory,
-      'all' | 'noteSaidLeave'
+      'all' | 'noteLeaveAnnounced'
     >,
     /** Name of this entry. */
     private readonly self: string,
   ) {}
 
-  /** The endpoint's own answer to a request that was sent at `sentMs`. */
+  /** Applies the head of the endpoint's answer to a request that was sent at `sentMs`. */
   noteAnswer(
     endpoint: Endpoint,
-    {limit, isNotRun, saysLeaving, restMs}: EndpointStatement,
+    {limit, isNotRun, saysLeaving, restMs}: Announcement,
     sentMs: number,
   ): void {
     const nowMs = this.clock.nowMs();
@@ -43,30 +43,30 @@
     this.logLimit(endpoint, change);
     const {self} = this;
     const wallMs = this.clock.wallMs();
-    const news = known.newsOf(change, nowMs, {self, wallMs});
-    if (news !== undefined) this.tell(endpoint, news);
-    if (saysLeaving) this.endpoints.noteSaidLeave(endpoint);
-    if (restMs !== undefined) this.noteRest(endpoint, restMs);
+    const report = known.newsOf(change, nowMs, {self, wallMs});
+    if (report !== undefined) this.notifyListeners(endpoint, report);
+    if (saysLeaving) this.endpoints.noteLeaveAnnounced(endpoint);
+    if (restMs !== undefined) this.noteBackoff(endpoint, restMs);
   }
 
-  /** Another entry tells of the rate that an endpoint names, or names no more. */
-  noteLimitTold(endpoint: Endpoint, told: ToldLimit): void {
-    const change = endpoint.terms.limit.noteTold(told, this.clock.nowMs());
+  /** Applies a rate limit, or its end, received from another entry. */
+  noteLimitTold(endpoint: Endpoint, report: ToldLimit): void {
+    const change = endpoint.terms.limit.noteTold(report, this.clock.nowMs());
     if (change === undefined) return;
     this.logLimit(endpoint, change);
-    this.tell(endpoint, told);
+    this.notifyListeners(endpoint, report);
   }
 
-  /** Calls `listener` with what other entries should hear of endpoints' limits. */
+  /** Calls `listener` with each change of a rate limit that other entries need. */
   onLimitToTell(listener: LimitListener): void {
     this.limitListeners.push(listener);
   }
 
-  /** Limits that are in force, as they are told. */
+  /** Rate limits that apply now, as reported to other entries. */
   get limits(): Array<[Endpoint, ToldLimit]> {
     const nowMs = this.clock.nowMs();
     return [...this.endpoints.all()]
-      .filter(({terms}) => terms.limit.perS !== undefined)
+      .filter(({terms: state}) => state.limit.perS !== undefined)
       .map((endpoint) => [endpoint, endpoint.terms.limit.asTold(nowMs)]);
   }
 
@@ -81,11 +81,11 @@
     });
   }
 
-  private tell(endpoint: Endpoint, told: ToldLimit): void {
-    for (const listener of this.limitListeners) listener(endpoint, told);
+  private notifyListeners(endpoint: Endpoint, report: ToldLimit): void {
+    for (const listener of this.limitListeners) listener(endpoint, report);
   }
 
-  private noteRest(endpoint: Endpoint, restMs: number): void {
+  private noteBackoff(endpoint: Endpoint, restMs: number): void {
     endpoint.terms.rest.noteAsked(restMs, this.clock.nowMs());
     this.log.info('endpoint.askedRest', {
       endpoint: endpoint.id,
--- a/packages/relay/src/endpoints/endpointTerms.ts
+++ b/packages/relay/src/endpoints/endpointTerms.ts
@@ -1,16 +1,16 @@
 import {AskedRest, StatedLimit} from '@lilacledge/policy';
 
-/** What one life of an endpoint says of itself in its answers. */
-export class EndpointTerms {
-  /** The rate that it takes from all entries together. */
+/** State that one incarnation of an endpoint announces in its answers. */
+export class AnnouncedState {
+  /** Rate limit for all entries together. */
   readonly limit = new StatedLimit();
-  /** The time for which it wants nothing from this entry. */
+  /** Time for which this entry must send it nothing. */
   readonly rest = new AskedRest();
-  /** False once the endpoint is no longer known, until it is seen again. */
+  /** False while the directory does not hold the endpoint. */
   isInUse = true;
   private leaving: number | undefined;
 
-  /** When it first said that it leaves, which it does not take back. */
+  /** When it first announced that it is leaving; an incarnation never reverts that. */
   get leavingSinceMs(): number | undefined {
     return this.leaving;
   }
--- a/packages/relay/src/endpoints/engineUse.ts
+++ b/packages/relay/src/endpoints/engineUse.ts
@@ -3,37 +3,37 @@
 import type {Endpoint} from './endpoint.js';
 import type {ZoneLoads} from './zoneLoads.js';
 
-/** A report older than this says nothing of an engine's memory now. */
-const REPORT_USABLE_MS = 1_500;
+/** Older reports are ignored when estimating an engine's memory use. */
+const MAX_REPORT_AGE_MS = 1_500;
 
 /**
- * A run that was sent this shortly before a report may not be in it: sidecars count
- * runs as they are told of them, one hop (1 ms) after the send.
+ * A report may lack a run that was sent this shortly before it: sidecars count a run
+ * when the entry reports it, one hop (1 ms) after the send.
  */
 const REPORT_SLACK_MS = 10;
 
-/** How full an engine is, as this process sees it. */
+/** Memory use and backlog of an engine, as estimated by this process. */
 export interface EngineUse {
   readonly usedTokens: number;
-  /** Prompt tokens that wait to be read. */
+  /** Prompt tokens that wait for prefill. */
   readonly backlogTokens: number;
-  /** Age of the report that this follows from; undefined without one. */
+  /** Age of the report used; undefined if the estimate is not based on a report. */
   readonly reportAgeMs?: number;
 }
 
-/** What the view of an engine's load looks at. */
+/** Inputs of an estimate of an engine's load. */
 export interface EngineUseContext extends ChoiceContext {
   readonly runs: RunRegistry;
-  /** Entries that send to the same engines. */
+  /** Number of entries that send to the same engines. */
   readonly entryCount: number;
-  /** Loads of zones whose sidecars do not report here. */
+  /** Loads of zones whose sidecars do not report to this entry. */
   readonly zoneLoads: ZoneLoads;
 }
 
 /**
- * Use of all engines of a service, by endpoint id. One that does not report is
- * taken to be at least as full as those of its zone are on average, or else as
- * those that report here.
+ * Estimates the use of all engines of a service, by endpoint id. An engine without a
+ * report is assumed to be at least as full as the mean of its zone or, if that is
+ * unknown, the mean of all reporting engines.
  */
 export function estimatedUses(
   endpoints: readonly Endpoint[],
@@ -46,18 +46,18 @@
     uses.set(endpoint.id, use);
     if (use.reportAgeMs !== undefined) reported.push(use);
   }
-  const usual = meanUse(reported);
+  const meanReported = meanUse(reported);
   for (const endpoint of endpoints) {
     const use = uses.get(endpoint.id)!;
     if (use.reportAgeMs !== undefined) continue;
     const {service, zone} = endpoint.record;
     const ofZone = context.zoneLoads.get(service, zone, context.nowMs);
-    uses.set(endpoint.id, atLeast(use, ofZone ?? usual));
+    uses.set(endpoint.id, atLeast(use, ofZone ?? meanReported));
   }
   return uses;
 }
 
-/** The mean of some uses; undefined of none. */
+/** Mean of the given uses; undefined for an empty list. */
 export function meanUse(uses: readonly EngineUse[]): EngineUse | undefined {
   if (uses.length === 0) return undefined;
   const mean = (amountOf: (use: EngineUse) => number): number =>
@@ -76,7 +76,10 @@
   };
 }
 
-/** The engine's last report, with what this process sent since. */
+/**
+ * Use according to the engine's last report plus the runs that this process sent since.
+ * Without a recent report, assumes that every entry sent as much as this one.
+ */
 export function engineUse(
   endpoint: Endpoint,
   context: EngineUseContext,
@@ -85,7 +88,7 @@
   const own = runs.at(endpoint);
   const {report} = endpoint;
   const ageMs = report === undefined ? Infinity : nowMs - report.atMs;
-  if (report === undefined || ageMs > REPORT_USABLE_MS) {
+  if (report === undefined || ageMs > MAX_REPORT_AGE_MS) {
     return {
       usedTokens: sumOf(own, memoryOf) * entryCount,
       backlogTokens: sumOf(own.filter(isUnread), promptOf) * entryCount,
--- a/packages/relay/src/endpoints/lives.ts
+++ b/packages/relay/src/endpoints/lives.ts
@@ -4,82 +4,81 @@
 import {EndpointState, formatAddress} from '../model/index.js';
 import type {EndpointRecord} from '../model/index.js';
 import type {Endpoint} from './endpoint.js';
-import {EndpointTerms} from './endpointTerms.js';
+import {AnnouncedState} from './endpointTerms.js';
 
 /**
- * How long the start of a life is remembered after it is gone, so that a word of it
- * that comes late brings nothing back. The longest way of one is a call that the
- * store carries out seconds later.
+ * How long an incarnation is remembered after it is gone, so that a late registration
+ * does not bring it back: the store may carry out a write seconds after the call.
  */
-const FORMER_LIFE_KEPT_MS = 30_000;
+const FORMER_INCARNATION_TTL_MS = 30_000;
 
-/** Tells the lives of endpoints apart, also of those that are no longer known. */
-export class Lives {
-  /** The last life under an id that is no longer known. */
+/** Distinguishes incarnations of endpoints, including those recently forgotten. */
+export class EndpointIncarnations {
+  /** Last incarnation of each id that is no longer in the directory. */
   private readonly former = new Map<string, Life>();
-  /** What lives say in their answers, by id and start. */
-  private readonly terms = new Map<string, EndpointTerms>();
+  /** State announced in answers, by id and start time. */
+  private readonly announced = new Map<string, AnnouncedState>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** What a registration is to the life that is or was known under its id. */
-  successionOf(
+  /** Compares a registration with the current or last known incarnation of its id. */
+  compareWithKnown(
     known: Endpoint | undefined,
     record: EndpointRecord,
   ): Succession {
-    const life =
-      known === undefined ? this.former.get(record.id) : lifeOf(known);
-    if (life === undefined) return Succession.LATER;
-    const told = succession(life, recordedLife(record));
-    // Where no start is told, a registration after a removal is the only sign of one.
+    const incarnation =
+      known === undefined ? this.former.get(record.id) : incarnationOf(known);
+    if (incarnation === undefined) return Succession.LATER;
+    const order = succession(incarnation, registeredIncarnation(record));
+    // Without start times, only a registration after a removal shows a restart.
     const isNew =
-      told === Succession.FORMER &&
+      order === Succession.FORMER &&
       record.startedAtMs === undefined &&
       known?.removedAtMs !== undefined;
-    return isNew ? Succession.LATER : told;
+    return isNew ? Succession.LATER : order;
   }
 
-  /** What a life says in its answers; the same when it is seen again after a gap. */
-  termsOf(record: EndpointRecord): EndpointTerms {
-    const key = termsKey(record);
-    const terms = this.terms.get(key) ?? new EndpointTerms();
-    this.terms.set(key, terms);
-    terms.isInUse = true;
-    return terms;
+  /** State announced by an incarnation, which is kept while its registration is missing. */
+  announcedStateOf(record: EndpointRecord): AnnouncedState {
+    const key = incarnationKey(record);
+    const state = this.announced.get(key) ?? new AnnouncedState();
+    this.announced.set(key, state);
+    state.isInUse = true;
+    return state;
   }
 
-  /** An endpoint is no longer known. */
+  /** Remembers the incarnation of an endpoint that the directory forgets. */
   noteGone(endpoint: Endpoint): void {
     const {id} = endpoint;
-    this.forgetTermsLater(endpoint);
-    const life = lifeOf(endpoint);
-    if (life.startedAtMs === undefined) return;
-    this.former.set(id, life);
-    this.clock.after(FORMER_LIFE_KEPT_MS, () => {
-      if (this.former.get(id) === life) this.former.delete(id);
+    this.scheduleStateRemoval(endpoint);
+    const incarnation = incarnationOf(endpoint);
+    if (incarnation.startedAtMs === undefined) return;
+    this.former.set(id, incarnation);
+    this.clock.after(FORMER_INCARNATION_TTL_MS, () => {
+      if (this.former.get(id) === incarnation) this.former.delete(id);
     });
   }
 
-  private forgetTermsLater({record, terms}: Endpoint): void {
-    const key = termsKey(record);
-    terms.isInUse = false;
-    this.clock.after(FORMER_LIFE_KEPT_MS, () => {
-      if (!terms.isInUse && this.terms.get(key) === terms) {
-        this.terms.delete(key);
+  private scheduleStateRemoval({record, terms: state}: Endpoint): void {
+    const key = incarnationKey(record);
+    state.isInUse = false;
+    this.clock.after(FORMER_INCARNATION_TTL_MS, () => {
+      if (!state.isInUse && this.announced.get(key) === state) {
+        this.announced.delete(key);
       }
     });
   }
 }
 
-function termsKey({id, startedAtMs}: EndpointRecord): string {
+function incarnationKey({id, startedAtMs}: EndpointRecord): string {
   return `${id} ${startedAtMs ?? ''}`;
 }
 
-function lifeOf({record, hasSaidLeave}: Endpoint): Life {
-  return {...recordedLife(record), isLeaving: hasSaidLeave};
+function incarnationOf({record, hasReportedLeave}: Endpoint): Life {
+  return {...registeredIncarnation(record), isLeaving: hasReportedLeave};
 }
 
-function recordedLife(record: EndpointRecord): Life {
+function registeredIncarnation(record: EndpointRecord): Life {
   const {startedAtMs, service, address, state} = record;
   const place = `${service} ${formatAddress(address)}`;
   return {startedAtMs, place, isLeaving: state === EndpointState.DRAINING};
--- a/packages/relay/src/endpoints/registrations.ts
+++ b/packages/relay/src/endpoints/registrations.ts
@@ -4,21 +4,21 @@
 import type {StoreItem, WireCodec} from '../ports.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
 
-/** A registration of a service that the configuration does not name yet. */
-interface SetAside {
+/** A registration for a service that is not configured yet. */
+interface PendingRegistration {
   readonly record: EndpointRecord;
   readonly revision: number;
-  readonly clearMs: number;
+  readonly unchangedAtMs: number;
 }
 
 /**
- * Decides which entries below the endpoints' prefix name an endpoint to use. Other
- * writers may leave entries there: one that cannot be read, or that is of a service
- * that no configuration names, names none. What was known under its key gets no new
- * work until a good entry is there again; no other endpoint is touched.
+ * Decides which values below the store prefix of endpoints are valid registrations. Other
+ * programs may write below it too: unreadable values and registrations for services that
+ * are not configured are not used. An endpoint whose key holds such a value gets no new
+ * work until the key holds a valid registration again; other endpoints are unaffected.
  */
 export class Registrations {
-  private readonly setAside = new Map<string, SetAside>();
+  private readonly pending = new Map<string, PendingRegistration>();
 
   constructor(
     private readonly endpoints: EndpointDirectory,
@@ -26,49 +26,49 @@
     private readonly codec: WireCodec,
     private readonly log: DecisionLogger,
   ) {
-    config.onChange(() => this.takeNamed());
+    config.onChange(() => this.applyPending());
   }
 
-  /** An entry was written, after `clearMs`. */
-  written(item: StoreItem, clearMs: number): void {
+  /** Applies a written value that the store did not hold yet at `unchangedAtMs`. */
+  written(item: StoreItem, unchangedAtMs: number): void {
     const {key, value, revision} = item;
     const id = this.codec.endpointIdOf(key);
-    this.setAside.delete(id);
+    this.pending.delete(id);
     const decoded = this.codec.decodeEndpoint(key, value);
     if (!decoded.ok) {
       const {problem} = decoded;
       this.log.warn('endpoint.refused', {endpoint: id, revision, problem});
-      this.endpoints.disown(id);
+      this.endpoints.invalidate(id);
       return;
     }
     const record = decoded.value;
-    if (this.isNamed(record)) {
-      this.endpoints.upsert(record, revision, clearMs);
+    if (this.isServiceConfigured(record)) {
+      this.endpoints.upsert(record, revision, unchangedAtMs);
       return;
     }
     const {service} = record;
     this.log.info('endpoint.setAside', {endpoint: id, revision, service});
-    this.setAside.set(id, {record, revision, clearMs});
-    this.endpoints.disown(id);
+    this.pending.set(id, {record, revision, unchangedAtMs});
+    this.endpoints.invalidate(id);
   }
 
-  /** An entry is gone, which the store had at `clearMs`. */
-  deleted(key: string, clearMs: number): void {
+  /** Applies the deletion of a key that the store still held at `unchangedAtMs`. */
+  deleted(key: string, unchangedAtMs: number): void {
     const id = this.codec.endpointIdOf(key);
-    this.setAside.delete(id);
-    this.endpoints.remove(id, clearMs);
+    this.pending.delete(id);
+    this.endpoints.remove(id, unchangedAtMs);
   }
 
-  private isNamed({service}: EndpointRecord): boolean {
+  private isServiceConfigured({service}: EndpointRecord): boolean {
     return this.config.current?.namesService(service) ?? false;
   }
 
-  /** A configuration came into force: it may name more services. */
-  private takeNamed(): void {
-    for (const [id, {record, revision, clearMs}] of [...this.setAside]) {
-      if (!this.isNamed(record)) continue;
-      this.setAside.delete(id);
-      this.endpoints.upsert(record, revision, clearMs);
+  /** Applies pending registrations whose services are now configured. */
+  private applyPending(): void {
+    for (const [id, {record, revision, unchangedAtMs}] of [...this.pending]) {
+      if (!this.isServiceConfigured(record)) continue;
+      this.pending.delete(id);
+      this.endpoints.upsert(record, revision, unchangedAtMs);
     }
   }
 }
--- a/packages/relay/src/endpoints/sendLimits.ts
+++ b/packages/relay/src/endpoints/sendLimits.ts
@@ -2,28 +2,28 @@
 import type {Clock} from '@lilacledge/shared';
 import type {WarmUp} from '../model/index.js';
 import type {Endpoint} from './endpoint.js';
-import type {EndpointTerms} from './endpointTerms.js';
+import type {AnnouncedState} from './endpointTerms.js';
 
-/** Sends to cold endpoints are counted over the second that the configured rate is of. */
+/** The configured rate for cold endpoints is per second. */
 const COLD_WINDOW_MS = 1_000;
 
 /**
- * Entries that were seen this recently may still send: the life of a registration,
- * twice, as a link may show an entry for longer than that.
+ * Entries that disappeared this recently may still send: twice the lifetime of a
+ * registration, as links may keep an entry visible after its registration has expired.
  */
-const SEEN_KEPT_MS = 30_000;
+const MEMBER_TTL_MS = 30_000;
 
-/** Entries that share the endpoints. */
-export interface SendSharers {
+/** Entries that share the rates of the endpoints. */
+export interface SharingEntries {
   readonly self: string;
-  /** Names of all entries that are seen now. */
+  /** Names of all entries that are visible now. */
   members(): readonly string[];
 }
 
-/** One send to an endpoint that has been counted; nothing is sent without one. */
+/** Proof that a send was counted; required to send anything to an endpoint. */
 class CountedSend {
-  // Keeps objects that only look like one from being taken for it.
-  protected readonly isCounted = true;
+  // Makes the type nominal.
+  protected readonly isCountedSend = true;
 
   constructor(
     readonly endpoint: Endpoint,
@@ -32,53 +32,54 @@
 }
 export type SendPermit = CountedSend;
 
-/** What an endpoint bears within some span, from all entries. */
+/** Maximum number of sends to an endpoint within a window, from all entries. */
 interface SendLimit {
   readonly sends: number;
   readonly windowMs: number;
-  /** Earlier sends do not count. */
+  /** Sends before this time are not counted. */
   readonly sinceMs: number;
-  /** Least part of an entry. */
-  readonly least: number;
+  /** Minimum share of each entry. */
+  readonly minShare: number;
 }
 
 /**
- * Keeps this entry's part of the rates that endpoints bear: of cold ones as configured, and
- * of those in need as they say in their answers; and the rests that they ask for. All sends
- * count, the first and any other; those that have to be made, for a run that goes on, too.
+ * Enforces this entry's share of the rate limits of endpoints: the configured limit of cold
+ * endpoints and the limits that endpoints announce in their answers. Also enforces the
+ * backoff that endpoints request. All sends count: first sends, retries and the mandatory
+ * sends that continue a run.
  */
 export class SendLimits {
-  /** Sends to each life of an endpoint, in order of time. */
-  private readonly sends = new WeakMap<EndpointTerms, SendPermit[]>();
-  private mostSeen = 0;
-  private mostSeenAtMs = 0;
+  /** Sends to each incarnation of an endpoint, oldest first. */
+  private readonly sends = new WeakMap<AnnouncedState, SendPermit[]>();
+  private maxSeenEntries = 0;
+  private maxSeenAtMs = 0;
   private readonly startedAtMs: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly warmUpOf: (service: string) => WarmUp | undefined,
-    private readonly sharers: SendSharers,
-    /** Time after the start in which other entries may not be seen yet. */
+    private readonly entries: SharingEntries,
+    /** Time after the start for which other entries may not be visible yet. */
     private readonly settleMs: () => number,
   ) {
     this.startedAtMs = clock.nowMs();
   }
 
-  /** True when the endpoint bears a send from this entry now. */
+  /** True if this entry may send to the endpoint now. */
   allows(endpoint: Endpoint): boolean {
     return this.freeInMs(endpoint) <= 0;
   }
 
-  /** Time until the endpoint bears a send from this entry; 0 when it does now. */
+  /** Time until this entry may send to the endpoint; 0 if it may send now. */
   freeInMs(endpoint: Endpoint): number {
     return Math.max(
       endpoint.terms.rest.leftMs(this.clock.nowMs()),
-      this.coldFreeInMs(endpoint),
-      this.statedFreeInMs(endpoint),
+      this.coldWaitMs(endpoint),
+      this.announcedWaitMs(endpoint),
     );
   }
 
-  /** Counts a send, whether the endpoint bears it or not. */
+  /** Counts a send, even if it exceeds the limits. */
   take(endpoint: Endpoint): SendPermit {
     const atMs = this.clock.nowMs();
     const permit = new CountedSend(endpoint, atMs);
@@ -89,88 +90,94 @@
     return permit;
   }
 
-  /** Counts the send by which a run goes on; undefined where the endpoint wants no more. */
+  /** Counts a send that continues a run; undefined if the requested backoff forbids it. */
   takeContinuation(endpoint: Endpoint): SendPermit | undefined {
     const mayContinue = endpoint.terms.rest.tryContinue(this.clock.nowMs());
     return mayContinue ? this.take(endpoint) : undefined;
   }
 
-  /** A send that was counted is not made. */
+  /** Uncounts a send that is not made. */
   withdraw(permit: SendPermit): void {
     const sends = this.sends.get(permit.endpoint.terms) ?? [];
     const index = sends.lastIndexOf(permit);
     if (index >= 0) sends.splice(index, 1);
   }
 
-  private coldFreeInMs(endpoint: Endpoint): number {
+  private coldWaitMs(endpoint: Endpoint): number {
     const warmUp = this.warmUpOf(endpoint.record.service);
     if (warmUp === undefined) return 0;
     const coldForMs =
       endpoint.coldUntilMs(warmUp.durationMs) - this.clock.nowMs();
     if (coldForMs <= 0) return 0;
-    const freeInMs = this.freeWithin(endpoint, {
+    const waitMs = this.waitWithin(endpoint, {
       sends: warmUp.ratePerS,
       windowMs: COLD_WINDOW_MS,
       sinceMs: -Infinity,
-      least: 0,
+      minShare: 0,
     });
-    return Math.min(coldForMs, freeInMs ?? coldForMs);
+    return Math.min(coldForMs, waitMs ?? coldForMs);
   }
 
-  private statedFreeInMs(endpoint: Endpoint): number {
+  private announcedWaitMs(endpoint: Endpoint): number {
     const {limit} = endpoint.terms;
     if (limit.perS === undefined) return 0;
     const {sendsInWindow, windowMs} = limit;
-    const freeInMs = this.freeWithin(endpoint, {
+    const waitMs = this.waitWithin(endpoint, {
       sends: sendsInWindow,
       windowMs,
       sinceMs: limit.countedSinceMs,
-      least: limit.isStale(this.clock.nowMs()) ? 1 : 0,
+      minShare: limit.isStale(this.clock.nowMs()) ? 1 : 0,
     });
-    // Without a part of its own, an entry can say when another one may send.
-    return freeInMs ?? windowMs / Math.max(1, sendsInWindow);
+    // An entry without a share of its own returns the interval between all entries' sends.
+    return waitMs ?? windowMs / Math.max(1, sendsInWindow);
   }
 
-  /** Time until one more send is within the part of this entry; undefined for no part. */
-  private freeWithin(
+  /** Time until one more send is within this entry's share; undefined if it has no share. */
+  private waitWithin(
     endpoint: Endpoint,
-    {sends, windowMs, sinceMs, least}: SendLimit,
+    {sends, windowMs, sinceMs, minShare}: SendLimit,
   ): number | undefined {
     const nowMs = this.clock.nowMs();
-    const share = Math.max(least, this.shareOf(sends, endpoint));
+    const share = Math.max(minShare, this.shareOf(sends, endpoint));
     const fromMs = Math.max(sinceMs, nowMs - windowMs);
     const recent = this.sendsTo(endpoint).filter(({atMs}) => atMs > fromMs);
     if (recent.length < share) return 0;
-    // The send after which one less than the share is left in the window.
+    // Once this send leaves the window, one more send is allowed.
     const blocking = recent[recent.length - share];
     return blocking && blocking.atMs + windowMs - nowMs;
   }
 
-  /** Drops what no window counts, also that of a rate which is named next. */
-  private dropOld({limit}: EndpointTerms, sends: SendPermit[]): void {
+  /** Drops sends that are outside the window of every limit, including later ones. */
+  private dropOld({limit}: AnnouncedState, sends: SendPermit[]): void {
     const oldestMs = this.clock.nowMs() - limit.windowMs;
     while (sends[0] !== undefined && sends[0].atMs <= oldestMs) sends.shift();
   }
 
-  private sendsTo({terms}: Endpoint): readonly SendPermit[] {
-    return this.sends.get(terms) ?? [];
+  private sendsTo({terms: state}: Endpoint): readonly SendPermit[] {
+    return this.sends.get(state) ?? [];
   }
 
   private shareOf(sends: number, endpoint: Endpoint): number {
-    const members = this.sharers.members();
+    const members = this.entries.members();
     const nowMs = this.clock.nowMs();
-    this.noteSeen(members.length, nowMs);
-    const {self} = this.sharers;
-    const share = sendShare(sends, self, members, this.mostSeen, endpoint.id);
-    // All may have started together, and each see only itself.
+    this.noteEntryCount(members.length, nowMs);
+    const {self} = this.entries;
+    const share = sendShare(
+      sends,
+      self,
+      members,
+      this.maxSeenEntries,
+      endpoint.id,
+    );
+    // All entries may have started together and not see each other yet.
     const isNew = nowMs < this.startedAtMs + this.settleMs();
     return isNew ? Math.min(1, share) : share;
   }
 
-  private noteSeen(count: number, nowMs: number): void {
-    const isOld = nowMs > this.mostSeenAtMs + SEEN_KEPT_MS;
-    if (count < this.mostSeen && !isOld) return;
-    this.mostSeen = count;
-    this.mostSeenAtMs = nowMs;
+  private noteEntryCount(count: number, nowMs: number): void {
+    const isOld = nowMs > this.maxSeenAtMs + MEMBER_TTL_MS;
+    if (count < this.maxSeenEntries && !isOld) return;
+    this.maxSeenEntries = count;
+    this.maxSeenAtMs = nowMs;
   }
 }
--- a/packages/relay/src/endpoints/storeContact.ts
+++ b/packages/relay/src/endpoints/storeContact.ts
@@ -2,58 +2,58 @@
 import type {StoreReturn} from '@lilacledge/policy';
 import type {Clock} from '@lilacledge/shared';
 
-/** A store that came back this recently may still miss entries. */
-const STORE_UNSETTLED_MS = 3_000;
+/** Registrations may still be missing for this long after the store became available. */
+const RECOVERY_MS = 3_000;
 
-/** Since when the store answers this process, or does not. */
+/** For how long the store has been available or unavailable to this process. */
 export interface StoreContact {
-  /** How long the store has answered; undefined while it does not. */
+  /** Time since the store became available; undefined while it is unavailable. */
   readonly answersForMs: number | undefined;
-  /** How long the store has not answered; 0 while it does. */
+  /** Time since the store became unavailable; 0 while it is available. */
   readonly awayForMs: number;
 }
 
-/** When the store was away, and what may be missing because of it. */
+/** Tracks outages of the store and how long registrations may be missing after one. */
 export class StoreContactHistory {
-  private returnedAtMs: number | undefined;
-  private lostAtMs: number;
-  /** Until when a missing registration may be one that lapsed. */
-  private lapseEndsMs = Number.NEGATIVE_INFINITY;
+  private availableAtMs: number | undefined;
+  private unavailableAtMs: number;
+  /** Until this time, a registration may be missing because it expired in an outage. */
+  private expiryGraceEndsAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly clock: Clock) {
-    this.lostAtMs = clock.nowMs();
+    this.unavailableAtMs = clock.nowMs();
   }
 
-  /** Since when the store answers, or does not. */
+  /** The current state. */
   get now(): StoreContact {
     const nowMs = this.clock.nowMs();
-    const {returnedAtMs, lostAtMs} = this;
-    if (returnedAtMs === undefined || returnedAtMs < lostAtMs) {
-      return {answersForMs: undefined, awayForMs: nowMs - lostAtMs};
+    const {availableAtMs, unavailableAtMs} = this;
+    if (availableAtMs === undefined || availableAtMs < unavailableAtMs) {
+      return {answersForMs: undefined, awayForMs: nowMs - unavailableAtMs};
     }
-    return {answersForMs: nowMs - returnedAtMs, awayForMs: 0};
+    return {answersForMs: nowMs - availableAtMs, awayForMs: 0};
   }
 
-  /** True while registrations may be missing that come back by themselves. */
-  get isUnsettled(): boolean {
-    const {returnedAtMs} = this;
-    if (returnedAtMs === undefined) return false;
-    return this.clock.nowMs() < returnedAtMs + STORE_UNSETTLED_MS;
+  /** True while registrations may be missing that endpoints will renew. */
+  get isRecovering(): boolean {
+    const {availableAtMs} = this;
+    if (availableAtMs === undefined) return false;
+    return this.clock.nowMs() < availableAtMs + RECOVERY_MS;
   }
 
-  /** How much longer a missing registration may be one that lapsed. */
-  get lapseLeftMs(): number {
-    return this.lapseEndsMs - this.clock.nowMs();
+  /** Remaining time for which a registration may be missing because it expired. */
+  get expiryGraceLeftMs(): number {
+    return this.expiryGraceEndsAtMs - this.clock.nowMs();
   }
 
-  /** `settleMs` after the end of what was wrong, the bounds hold again. */
-  noteReturned(seen: StoreReturn, settleMs: number): void {
-    this.returnedAtMs = seen.atMs;
-    const endsMs = lapseEndsMs(seen, settleMs);
-    this.lapseEndsMs = Math.max(this.lapseEndsMs, endsMs);
+  /** Records the end of an outage; `settleMs` later, the usual bounds apply again. */
+  noteAvailable(recovery: StoreReturn, settleMs: number): void {
+    this.availableAtMs = recovery.atMs;
+    const endsMs = lapseEndsMs(recovery, settleMs);
+    this.expiryGraceEndsAtMs = Math.max(this.expiryGraceEndsAtMs, endsMs);
   }
 
-  noteLost(): void {
-    this.lostAtMs = this.clock.nowMs();
+  noteUnavailable(): void {
+    this.unavailableAtMs = this.clock.nowMs();
   }
 }
--- a/packages/relay/src/endpoints/zoneEvacuations.ts
+++ b/packages/relay/src/endpoints/zoneEvacuations.ts
@@ -3,75 +3,75 @@
 import type {Clock} from '@lilacledge/shared';
 import type {DecisionLogger} from '../log/boundedLog.js';
 
-/** What is known of one availability zone, as of a revision of the store. */
+/** Evacuation status of an availability zone as of a store revision. */
 export interface ZoneStatus {
   readonly zone: string;
   readonly isEvacuated: boolean;
-  /** The store's revision of the order, or of its end. */
+  /** Store revision at which the evacuation order was written or deleted. */
   readonly revision: number;
 }
 
-/** Where the status of a zone was learned. */
+/** Source from which the status of a zone was learned. */
 export const EvacuationSource = {STORE: 'store', PEER: 'peer'} as const;
 export type EvacuationSource =
   (typeof EvacuationSource)[keyof typeof EvacuationSource];
 
-/** Hears of a zone whose status has changed here. */
+/** Called when the status of a zone changes in this process. */
 export type EvacuationListener = (status: ZoneStatus) => void;
 
-/** What endpoints ask of their zone. */
-export interface ZoneWork {
-  /** True while an operator wants nothing new to be sent to the zone. */
+/** Whether the endpoints of a zone may receive work. */
+export interface ZoneAvailability {
+  /** True while an operator's order forbids new work in the zone. */
   isEvacuated(zone: string): boolean;
-  /** True while work may still go there, if only as a last resort. */
+  /** True if work may still be sent to the zone, possibly only as a last resort. */
   mayGetWork(zone: string, nowMs: number): boolean;
-  /** When the last order for the zone ended, as it was learned; undefined before. */
-  takenBackAtMs(zone: string): number | undefined;
+  /** When this process learned that the zone's last order ended, if it did. */
+  evacuationEndedAtMs(zone: string): number | undefined;
 }
 
-/** Zones of a deployment in which none is ever evacuated. */
-export const NO_EVACUATIONS: ZoneWork = {
+/** Used where zones are never evacuated. */
+export const NO_EVACUATIONS: ZoneAvailability = {
   isEvacuated: () => false,
   mayGetWork: () => true,
-  takenBackAtMs: () => undefined,
+  evacuationEndedAtMs: () => undefined,
 };
 
-interface Known {
+interface KnownZone {
   readonly status: ZoneStatus;
-  /** How the order was learned, in each of the ways; empty once it has ended. */
-  readonly news: readonly LeaveNews[];
+  /** First notice of the current order from each kind of source. */
+  readonly notices: readonly LeaveNews[];
   readonly endedAtMs?: number;
 }
 
 /**
- * The availability zones that operators have evacuated. New work goes elsewhere from
- * the first word on; the zone is a last resort for part of the bound, counted as for
- * an endpoint that leaves. The store and other entries both tell of orders: what has
- * the highest revision is true, and what a whole reading of the store did not have is
- * over, whoever tells of it later.
+ * Availability zones that operators have evacuated. From the first notice of an order on,
+ * new work goes elsewhere; the zone remains a last resort for part of the permitted time,
+ * which is counted as for a leaving endpoint.
  *
- * Answers the pattern of stale orders: an entry that the store alone turns away
- * neither misses an order that its peers know nor brings back one that has ended.
+ * Orders come from the store and from other entries, and the highest revision wins. An
+ * order that a complete read of the store did not contain has ended, even if a peer
+ * reports it later. So an entry that alone cannot reach the store neither misses orders
+ * known to its peers nor revives orders that have ended.
  */
-export class ZoneEvacuations implements ZoneWork {
-  private readonly zones = new Map<string, Known>();
+export class ZoneEvacuations implements ZoneAvailability {
+  private readonly zones = new Map<string, KnownZone>();
   private readonly listeners: EvacuationListener[] = [];
-  /** All orders up to this revision of the store are known. */
+  /** All orders up to this store revision have been read. */
   private knownRevision = -1;
 
   constructor(
     private readonly clock: Clock,
     private readonly log: DecisionLogger,
-    /** Longest time for which work may go to an evacuated zone, in milliseconds. */
+    /** Longest time for which work may be sent to an evacuated zone. */
     private readonly boundMs: () => number,
   ) {}
 
-  /** Number of zones that are evacuated. */
+  /** Number of evacuated zones. */
   get size(): number {
     return this.statuses.filter(({isEvacuated}) => isEvacuated).length;
   }
 
-  /** What is known of all zones that were ever evacuated. */
+  /** Status of all zones that were ever evacuated. */
   get statuses(): ZoneStatus[] {
     return [...this.zones.values()].map(({status}) => status);
   }
@@ -85,33 +85,36 @@
   }
 
   mayGetWork(zone: string, nowMs: number): boolean {
-    const news = this.zones.get(zone)?.news ?? [];
+    const notices = this.zones.get(zone)?.notices ?? [];
     const boundMs = this.boundMs();
-    return news.every((word) => nowMs < lastWorkEndsMs(word, boundMs));
+    return notices.every((notice) => nowMs < lastWorkEndsMs(notice, boundMs));
   }
 
-  takenBackAtMs(zone: string): number | undefined {
+  evacuationEndedAtMs(zone: string): number | undefined {
     return this.zones.get(zone)?.endedAtMs;
   }
 
-  /** The store has an order, and had none at `clearMs`. */
-  noteOrdered(zone: string, revision: number, clearMs: number): void {
+  /** Applies an order in the store, which held none at `unchangedAtMs`. */
+  noteOrdered(zone: string, revision: number, unchangedAtMs: number): void {
     const status = {zone, isEvacuated: true, revision};
-    this.note(status, EvacuationSource.STORE, {kind: 'stored', clearMs});
+    this.applyStatus(status, EvacuationSource.STORE, {
+      kind: 'stored',
+      clearMs: unchangedAtMs,
+    });
   }
 
-  /** The store no longer has an order. */
+  /** Applies the deletion of an order from the store. */
   noteEnded(zone: string, revision: number): void {
     const status = {zone, isEvacuated: false, revision};
-    this.note(status, EvacuationSource.STORE);
+    this.applyStatus(status, EvacuationSource.STORE);
   }
 
-  /** All that the store had up to a revision was told. */
+  /** Records that all changes in the store up to a revision have been applied. */
   noteKnownUpTo(revision: number): void {
     this.knownRevision = Math.max(this.knownRevision, revision);
   }
 
-  /** The store was read whole at a revision, and has orders for these zones alone. */
+  /** Applies a complete read of the store, which holds orders for exactly these zones. */
   noteRead(zones: ReadonlySet<string>, revision: number): void {
     for (const {zone, isEvacuated, revision: since} of this.statuses) {
       if (!isEvacuated || zones.has(zone) || since > revision) continue;
@@ -120,37 +123,37 @@
     this.noteKnownUpTo(revision);
   }
 
-  /** Another entry told of a zone. */
+  /** Applies a status received from another entry. */
   noteTold(status: ZoneStatus): void {
     if (status.revision <= this.knownRevision) return;
     const atMs = this.clock.nowMs();
-    this.note(status, EvacuationSource.PEER, {kind: 'told', atMs});
+    this.applyStatus(status, EvacuationSource.PEER, {kind: 'told', atMs});
   }
 
-  private note(
+  private applyStatus(
     status: ZoneStatus,
     source: EvacuationSource,
-    word?: LeaveNews,
+    notice?: LeaveNews,
   ): void {
     const known = this.zones.get(status.zone);
     const wasEvacuated = known?.status.isEvacuated ?? false;
     if (known !== undefined && status.revision < known.status.revision) return;
     const isSameOrder = wasEvacuated && status.isEvacuated;
-    const before = isSameOrder ? known!.news : [];
-    const isNewWord = before.every(({kind}) => kind !== word?.kind);
-    const added = status.isEvacuated && isNewWord && word ? [word] : [];
+    const before = isSameOrder ? known!.notices : [];
+    const isNewKind = before.every(({kind}) => kind !== notice?.kind);
+    const added = status.isEvacuated && isNewKind && notice ? [notice] : [];
     const isEnd = wasEvacuated && !status.isEvacuated;
     const endedAtMs = isEnd ? this.clock.nowMs() : known?.endedAtMs;
-    const news = [...before, ...added];
-    this.zones.set(status.zone, {status, news, endedAtMs});
+    const notices = [...before, ...added];
+    this.zones.set(status.zone, {status, notices, endedAtMs});
     if (status.isEvacuated === wasEvacuated) return;
-    this.tell(status, source, word);
+    this.notifyListeners(status, source, notice);
   }
 
-  private tell(
+  private notifyListeners(
     status: ZoneStatus,
     source: EvacuationSource,
-    word: LeaveNews | undefined,
+    notice: LeaveNews | undefined,
   ): void {
     const nowMs = this.clock.nowMs();
     const {zone, revision, isEvacuated} = status;
@@ -160,7 +163,9 @@
       source,
       revision,
       unseenForMs:
-        word?.kind === 'stored' ? Math.round(nowMs - word.clearMs) : undefined,
+        notice?.kind === 'stored'
+          ? Math.round(nowMs - notice.clearMs)
+          : undefined,
     });
     for (const listener of this.listeners) listener(status);
   }
--- a/packages/relay/src/endpoints/zoneLoads.ts
+++ b/packages/relay/src/endpoints/zoneLoads.ts
@@ -1,35 +1,35 @@
 /**
- * Mean load of a service's engines in one availability zone: what the entries of
- * that zone, to which its sidecars report, tell those of others.
+ * Mean load of a service's engines in one availability zone, as reported by the entries
+ * of that zone, which its sidecars report to, to the entries of other zones.
  */
 export interface ZoneLoad {
   readonly service: string;
   readonly zone: string;
   readonly usedTokens: number;
-  /** Prompt tokens that wait to be read. */
+  /** Prompt tokens that wait for prefill. */
   readonly backlogTokens: number;
 }
 
-/** A load that was told this long ago says nothing any more. */
-const USABLE_MS = 2_000;
+/** Older loads are ignored. */
+const MAX_AGE_MS = 2_000;
 
-interface Told {
+interface ReceivedLoad {
   readonly load: ZoneLoad;
   readonly atMs: number;
 }
 
-/** The newest load of each zone that peers told of. */
+/** The newest load of each service and zone received from peers. */
 export class ZoneLoads {
-  private readonly told = new Map<string, Told>();
+  private readonly newest = new Map<string, ReceivedLoad>();
 
   note(load: ZoneLoad, nowMs: number): void {
-    this.told.set(keyOf(load.service, load.zone), {load, atMs: nowMs});
+    this.newest.set(keyOf(load.service, load.zone), {load, atMs: nowMs});
   }
 
   get(service: string, zone: string, nowMs: number): ZoneLoad | undefined {
-    const told = this.told.get(keyOf(service, zone));
-    if (told === undefined || nowMs - told.atMs > USABLE_MS) return undefined;
-    return told.load;
+    const last = this.newest.get(keyOf(service, zone));
+    if (last === undefined || nowMs - last.atMs > MAX_AGE_MS) return undefined;
+    return last.load;
   }
 }
 
--- a/packages/relay/src/suspicions/__tests__/requestSuspicions.test.ts
+++ b/packages/relay/src/suspicions/__tests__/requestSuspicions.test.ts
@@ -69,7 +69,7 @@
     id,
     record,
     isLeaving: false,
-    hasSaidLeave: false,
+    hasReportedLeave: false,
     removedAtMs: undefined,
     ...changes,
   };
@@ -104,7 +104,7 @@
   );
 
   it.each([
-    ['registered that it leaves', {hasSaidLeave: true, removedAtMs: 2_000}],
+    ['registered that it leaves', {hasReportedLeave: true, removedAtMs: 2_000}],
     ['was removed from the store long before', {removedAtMs: 500}],
     ['announced it to entries only', {}],
   ])(
--- a/packages/relay/src/suspicions/requestSuspicions.ts
+++ b/packages/relay/src/suspicions/requestSuspicions.ts
@@ -36,7 +36,7 @@
 
 type EndedEndpoint = Pick<
   Endpoint,
-  'id' | 'record' | 'isLeaving' | 'hasSaidLeave' | 'removedAtMs'
+  'id' | 'record' | 'isLeaving' | 'hasReportedLeave' | 'removedAtMs'
 >;
 
 /** Names of the entries of which exactly one makes the trial of a request. */
@@ -164,10 +164,10 @@
   }
 
   private leaveOf(endpoint: EndedEndpoint): EndedLeave {
-    const {isLeaving, hasSaidLeave, removedAtMs} = endpoint;
+    const {isLeaving, hasReportedLeave, removedAtMs} = endpoint;
     const removedAgoMs =
       removedAtMs === undefined ? undefined : this.clock.nowMs() - removedAtMs;
-    return {isLeaving, hasSaidLeave, removedAgoMs};
+    return {isLeaving, hasSaidLeave: hasReportedLeave, removedAgoMs};
   }
 
   private changed(fingerprint: string, source: SuspicionSource): void {
