--- a/packages/relay/src/endpoints/__tests__/incarnations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/incarnations.test.ts
@@ -83,11 +83,11 @@
     former.promisedTokens = 9_000;
     former.outstanding = 3;
     former.load = {value: {running: 6, waiting: 9, slots: 6}, atMs: 0};
-    const again = restart();
-    expect(again.promisedTokens).toBe(0);
-    expect(again.outstanding).toBe(0);
-    expect(again.load).toBeUndefined();
-    expect(again.report).toBeUndefined();
+    const restarted = restart();
+    expect(restarted.promisedTokens).toBe(0);
+    expect(restarted.outstanding).toBe(0);
+    expect(restarted.load).toBeUndefined();
+    expect(restarted.report).toBeUndefined();
   });
 
   it('ends the former incarnation, so that no run resumes from its memory', () => {
@@ -98,13 +98,13 @@
   });
 
   it('is not doubted for failed sends to its former incarnation', () => {
-    const told: string[] = [];
-    directory.onDoubtToTell(({id}) => told.push(id));
+    const reported: string[] = [];
+    directory.onDoubtToTell(({id}) => reported.push(id));
     const former = register();
-    const again = restart();
+    const restarted = restart();
     former.health.noteSilence(clock.nowMs(), true, 1);
-    expect(told).toEqual([]);
-    expect(again.health.isDoubted(clock.nowMs())).toBe(false);
+    expect(reported).toEqual([]);
+    expect(restarted.health.isDoubted(clock.nowMs())).toBe(false);
   });
 
   it('may have moved to another address and zone', () => {
@@ -127,17 +127,17 @@
   describe('while messages about its former incarnation still arrive', () => {
     it('is not replaced by an older registration', () => {
       register();
-      const again = restart();
+      const restarted = restart();
       register();
-      expect(directory.get('a')).toBe(again);
-      expect(again.isCandidate).toBe(true);
+      expect(directory.get('a')).toBe(restarted);
+      expect(restarted.isCandidate).toBe(true);
     });
 
     it('does not leave because of an older registration as draining', () => {
       register();
-      const again = restart();
+      const restarted = restart();
       register({state: EndpointState.DRAINING});
-      expect(again.isCandidate).toBe(true);
+      expect(restarted.isCandidate).toBe(true);
     });
 
     it('is not replaced by an older registration after its own removal', async () => {
@@ -193,9 +193,9 @@
     const known = register({startedAtMs});
     register({startedAtMs, state: EndpointState.DRAINING});
     directory.remove('a');
-    const again = register({startedAtMs});
-    expect(again).not.toBe(known);
-    expect(again.isCandidate).toBe(true);
+    const restarted = register({startedAtMs});
+    expect(restarted).not.toBe(known);
+    expect(restarted.isCandidate).toBe(true);
   });
 });
 
--- a/packages/relay/src/endpoints/__tests__/limitNews.test.ts
+++ b/packages/relay/src/endpoints/__tests__/limitNews.test.ts
@@ -45,12 +45,12 @@
     return {statements, directory};
   });
   for (const entry of entries) {
-    entry.statements.onLimitToTell((_endpoint, told) => {
+    entry.statements.onLimitToTell((_endpoint, report) => {
       for (const other of entries) {
         if (other === entry) continue;
         clock.after(MIN_DELAY_MS + random() * DELAY_RANGE_MS, () => {
           if (++delivered > MAX_DELIVERED) return;
-          other.statements.noteLimitTold(other.directory.get('a')!, told);
+          other.statements.noteLimitTold(other.directory.get('a')!, report);
         });
       }
     });
@@ -117,7 +117,7 @@
       'e-1',
     );
     const reports: unknown[] = [];
-    restarted.onLimitToTell((_endpoint, told) => reports.push(told));
+    restarted.onLimitToTell((_endpoint, report) => reports.push(report));
     const head = {limit: {kind: 'stated', perS: 3}, isNotRun: false} as const;
     const endpoint = directory.get('a')!;
     restarted.noteAnswer(
--- a/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
+++ b/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
@@ -202,11 +202,11 @@
   ): Promise<Sent[]> {
     const random = createRandom(11);
     for (const entry of entries) {
-      entry.statements.onLimitToTell((_endpoint, told) => {
+      entry.statements.onLimitToTell((_endpoint, report) => {
         clock.after(LINK_DELAY_MS, () => {
           for (const other of entries) {
             if (other === entry) continue;
-            other.statements.noteLimitTold(endpointOf(other), told);
+            other.statements.noteLimitTold(endpointOf(other), report);
           }
         });
       });
--- a/packages/relay/src/endpoints/endpoint.ts
+++ b/packages/relay/src/endpoints/endpoint.ts
@@ -46,8 +46,8 @@
   /** True once another incarnation has taken over its id or address. */
   hasEnded = false;
   /**
-   * True while its key in the store holds a value that is no usable registration,
-   * written by another program. Open requests continue; new ones go elsewhere.
+   * True while its key in the store holds a value that cannot be used as its registration,
+   * such as one written by another program. Open requests continue; new ones go elsewhere.
    */
   hasInvalidRegistration = false;
   /** Cancels the timer that forgets the endpoint after its removal. */
@@ -92,7 +92,7 @@
     return [...this.leaveNotices, {kind: 'told', atMs}];
   }
 
-  /** True if the endpoint is eligible for new work in general. */
+  /** True if the endpoint is eligible for new work: it stays and its zone is not evacuated. */
   get isCandidate(): boolean {
     const {isLeaving, hasInvalidRegistration, hasEnded, record, zones} = this;
     if (isLeaving || hasInvalidRegistration || hasEnded) return false;
@@ -117,10 +117,12 @@
    * evacuated, before it registers a new warm-up itself.
    */
   coldUntilMs(durationMs: number): number {
-    const takenBackAtMs = this.zones.evacuationEndedAtMs(this.record.zone);
+    const evacuationEndedAtMs = this.zones.evacuationEndedAtMs(
+      this.record.zone,
+    );
     const sinceMs = Math.max(
       this.returnedAtMs ?? -Infinity,
-      takenBackAtMs ?? -Infinity,
+      evacuationEndedAtMs ?? -Infinity,
     );
     return Math.max(this.warmUntilMs, sinceMs + durationMs);
   }
--- a/packages/relay/src/evacuation/linkGrants.ts
+++ b/packages/relay/src/evacuation/linkGrants.ts
@@ -42,6 +42,7 @@
 export class LinkGrants {
   /** Runs that were moved, and those that wait for `REGRANT_DELAY_MS`. */
   private readonly alreadyGranted = new Set<string>();
+  /** The current grant. */
   private open:
     {requestId: string; finish: (isMoved: boolean) => void} | undefined;
 
