--- a/packages/relay/src/createRelaySidecar.ts
+++ b/packages/relay/src/createRelaySidecar.ts
@@ -15,23 +15,23 @@
 import type {MetadataStore, WireCodec} from './ports.js';
 import type {OwnedRun} from './evacuation/linkGrants.js';
 import {EngineCommitments} from './sidecar/engineCommitments.js';
-import {EngineLife} from './sidecar/engineLife.js';
+import {EngineIncarnation} from './sidecar/engineLife.js';
 import {EntryLinks} from './sidecar/entryLinks.js';
 import {ReportPacer} from './sidecar/reportPacer.js';
 import {createSidecarMetrics} from './sidecarMetrics.js';
 import type {RelaySettings} from './settings.js';
 import type {Switches} from './switches.js';
 
-/** How often the engine is asked; it answers its own machine for free. */
+/** Time between two polls of the engine; requests from its own machine are free of charge. */
 const POLL_INTERVAL_MS = 60;
 
-/** An engine on the same machine answers in a few milliseconds. */
+/** Generous: an engine on the same machine answers in a few milliseconds. */
 const POLL_TIMEOUT_MS = 400;
 
-/** Without a link for this long, entries are looked up in the store. */
+/** How often entries are looked up in the store while the sidecar has no link. */
 const LOOKUP_INTERVAL_MS = 1_000;
 
-/** What a sidecar is built from. */
+/** The external dependencies of a sidecar. */
 export interface SidecarPorts {
   readonly clock: Clock;
   readonly random: Random;
@@ -41,7 +41,7 @@
   readonly switches: Switches;
 }
 
-/** Starts a sidecar: it tells entries of its engine and orders evacuations. */
+/** Starts a sidecar, which reports its engine's load to entries and schedules run moves. */
 export function startRelaySidecar(
   ports: SidecarPorts,
   settings: RelaySettings,
@@ -69,7 +69,7 @@
     {
       opened: (peer) => {
         linkCount++;
-        if (pacer.lastTold !== undefined) peer.send(pacer.lastTold);
+        if (pacer.lastSent !== undefined) peer.send(pacer.lastSent);
       },
       message: handleMessage,
       closed: (peer) => {
@@ -83,7 +83,7 @@
   );
   const entryLinks = new EntryLinks(settings.zone, mesh);
   const metrics = createSidecarMetrics();
-  const lifeSources = {
+  const incarnationOptions = {
     clock,
     log,
     metrics,
@@ -91,22 +91,25 @@
     switches,
     report: () => report,
   };
-  let life = new EngineLife(undefined, lifeSources);
+  let engine = new EngineIncarnation(undefined, incarnationOptions);
   const metricsServer = startMetricsServer(
     metrics.registry,
     {host: settings.host, port: settings.metricsPort},
     log,
   );
-  // Entries of other zones dial while they have runs at this engine.
-  const links = mesh.listen({host: settings.host, port: settings.linkPort});
+  // Entries of other zones connect while they have runs at this engine.
+  const linkServer = mesh.listen({
+    host: settings.host,
+    port: settings.linkPort,
+  });
   for (const seed of settings.seeds) entryLinks.dial(seed);
-  void pollTask();
-  void lookupTask();
+  void pollEngine();
+  void lookUpEntries();
 
   function handleMessage(peer: Peer, message: PeerMessage): void {
     switch (message.type) {
       case 'members':
-        entryLinks.note(message);
+        entryLinks.updateMembers(message);
         return;
       case 'runStarted': {
         const {requestId, promptTokens, expectedOutputTokens} = message;
@@ -122,8 +125,8 @@
       }
       case 'loadAsk': {
         const {requestId, promptTokens} = message;
-        if (report !== undefined) peer.send(commitments.loadForAsker(report));
-        commitments.noteAsked(requestId, promptTokens);
+        if (report !== undefined) peer.send(commitments.loadForQuery(report));
+        commitments.reserve(requestId, promptTokens);
         return;
       }
       case 'loadRelease':
@@ -133,16 +136,16 @@
         runs.delete(message.requestId);
         return;
       case 'moveDone':
-        life.noteMoved(message.requestId, message.isMoved);
+        engine.finishMove(message.requestId, message.isMoved);
         return;
       case 'copyAsk': {
         const {requestId, tokens} = message;
-        const isFree = life.copies.tryTake(requestId, tokens);
+        const isFree = engine.copies.tryAcquire(requestId, tokens);
         peer.send({type: 'copyAnswer', requestId, isFree});
         return;
       }
       case 'copyDone':
-        life.copies.release(message.requestId);
+        engine.copies.release(message.requestId);
         return;
       case 'hello':
       case 'alive':
@@ -165,7 +168,7 @@
     }
   }
 
-  async function pollTask(): Promise<void> {
+  async function pollEngine(): Promise<void> {
     let isLost = false;
     while (!stopped.signal.aborted) {
       const reply = await callHttp({
@@ -193,33 +196,33 @@
   }
 
   function noteReport(next: EngineReport): void {
-    if (life.isAfter(next)) return;
-    if (next.startedAtMs !== life.startedAtMs) beginLife(next.startedAtMs);
+    if (engine.isNewerThan(next)) return;
+    if (next.startedAtMs !== engine.startedAtMs) noteRestart(next.startedAtMs);
     report = next;
     metrics.noteReport(next);
-    life.note(next);
-    tellReport(next);
+    engine.noteReport(next);
+    broadcastReport(next);
   }
 
-  /** The engine has started; of its runs it knows only those it is told now. */
-  function beginLife(startedAtMs: number | undefined): void {
-    life.end();
-    life = new EngineLife(startedAtMs, lifeSources);
+  /** Replaces the state of the former incarnation; keeps only the runs sent to the new one. */
+  function noteRestart(startedAtMs: number | undefined): void {
+    engine.end();
+    engine = new EngineIncarnation(startedAtMs, incarnationOptions);
     for (const [requestId, run] of runs) {
       if (run.startedAtMs !== startedAtMs) runs.delete(requestId);
     }
     log.info('engine.started', {startedAtMs, owned: runs.size});
   }
 
-  function tellReport(next: EngineReport): void {
+  function broadcastReport(next: EngineReport): void {
     const message = commitments.load(next);
-    if (!pacer.isWorthTelling(message)) return;
-    pacer.noteTold(message);
+    if (!pacer.shouldSend(message)) return;
+    pacer.noteSent(message);
     mesh.broadcast(message);
   }
 
-  /** Entries are told of by other entries; the store is the last resort. */
-  async function lookupTask(): Promise<void> {
+  /** Finds entries in the store when no link is open; otherwise entries announce each other. */
+  async function lookUpEntries(): Promise<void> {
     while (!stopped.signal.aborted) {
       await sleep(clock, LOOKUP_INTERVAL_MS, stopped.signal);
       if (linkCount > 0) continue;
@@ -237,9 +240,9 @@
   return {
     stop(): void {
       stopped.abort();
-      life.end();
+      engine.end();
       mesh.stop();
-      links.close();
+      linkServer.close();
       metricsServer.close();
     },
   };
--- a/packages/relay/src/sidecar/__tests__/entryLinks.test.ts
+++ b/packages/relay/src/sidecar/__tests__/entryLinks.test.ts
@@ -20,12 +20,12 @@
 
 const SEED: EndpointAddress = {host: '10.0.9.9', port: 80};
 
-function places(zone: string, ...hosts: string[]): EntryPlace[] {
+function entriesIn(zone: string, ...hosts: string[]): EntryPlace[] {
   return hosts.map((host) => ({address: `${host}:80`, zone}));
 }
 
-function told(changes: Partial<Members>): void {
-  links.note({
+function receiveMembers(changes: Partial<Members>): void {
+  links.updateMembers({
     type: 'members',
     entries: [],
     gone: [],
@@ -38,10 +38,10 @@
   it('links to all entries of a small fleet', () => {
     links.dial(SEED);
     const entries = [
-      ...places('north', '10.0.0.1'),
-      ...places('south', '10.0.1.1'),
+      ...entriesIn('north', '10.0.0.1'),
+      ...entriesIn('south', '10.0.1.1'),
     ];
-    told({entries, isZoned: false});
+    receiveMembers({entries, isZoned: false});
     expect([...dialled].sort()).toEqual([
       '10.0.0.1:80',
       '10.0.1.1:80',
@@ -50,34 +50,37 @@
   });
 
   describe('in a large fleet', () => {
-    it('leaves the seeds once it knows entries of its own zone', () => {
+    it('drops the seeds once it knows entries of its own zone', () => {
       links.dial(SEED);
-      told({entries: places('north', '10.0.0.1', '10.0.0.2')});
+      receiveMembers({entries: entriesIn('north', '10.0.0.1', '10.0.0.2')});
       expect([...dialled]).toEqual(['10.0.0.1:80', '10.0.0.2:80']);
     });
 
-    it('stays at the seeds while it knows none', () => {
+    it('keeps the seeds while it knows no entry of its own zone', () => {
       links.dial(SEED);
-      told({entries: places('south', '10.0.1.1')});
+      receiveMembers({entries: entriesIn('south', '10.0.1.1')});
       expect(dialled.has('10.0.9.9:80')).toBe(true);
     });
 
-    it('leaves no entry for being told of another', () => {
-      told({entries: places('north', '10.0.0.1')});
-      told({entries: places('north', '10.0.0.2')});
+    it('keeps its links when an update names another entry', () => {
+      receiveMembers({entries: entriesIn('north', '10.0.0.1')});
+      receiveMembers({entries: entriesIn('north', '10.0.0.2')});
       expect(dialled.size).toBe(2);
     });
   });
 
-  it('keeps a link that works when a registration is gone', () => {
-    told({entries: places('north', '10.0.0.1')});
-    told({gone: ['10.0.0.1:80']});
+  it('keeps an open link when the registration of its entry is gone', () => {
+    receiveMembers({entries: entriesIn('north', '10.0.0.1')});
+    receiveMembers({gone: ['10.0.0.1:80']});
     expect(released).toEqual(['10.0.0.1:80']);
     expect(dialled.has('10.0.0.1:80')).toBe(true);
   });
 
-  it('ignores addresses that are none', () => {
-    told({entries: [{address: 'nowhere', zone: 'north'}], gone: ['?']});
+  it('ignores malformed addresses', () => {
+    receiveMembers({
+      entries: [{address: 'nowhere', zone: 'north'}],
+      gone: ['?'],
+    });
     expect(dialled.size).toBe(0);
   });
 });
--- a/packages/relay/src/sidecar/__tests__/incomingCopies.test.ts
+++ b/packages/relay/src/sidecar/__tests__/incomingCopies.test.ts
@@ -20,32 +20,32 @@
 });
 
 describe('IncomingCopies', () => {
-  it('lets one run at a time be copied', () => {
-    expect(copies.tryTake('a', 1_000)).toBe(true);
-    expect(copies.tryTake('b', 1_000)).toBe(false);
+  it('allows one copy at a time', () => {
+    expect(copies.tryAcquire('a', 1_000)).toBe(true);
+    expect(copies.tryAcquire('b', 1_000)).toBe(false);
     copies.release('a');
-    expect(copies.tryTake('b', 1_000)).toBe(true);
+    expect(copies.tryAcquire('b', 1_000)).toBe(true);
   });
 
-  it('is not freed by a run that does not hold it', () => {
-    copies.tryTake('a', 1_000);
+  it('ignores a release by a run that does not hold the link', () => {
+    copies.tryAcquire('a', 1_000);
     copies.release('b');
-    expect(copies.tryTake('b', 1_000)).toBe(false);
+    expect(copies.tryAcquire('b', 1_000)).toBe(false);
   });
 
-  it('is free again when its holder was never heard of again', async () => {
-    copies.tryTake('a', 1_000);
+  it('frees the link after a timeout when its holder never releases it', async () => {
+    copies.tryAcquire('a', 1_000);
     await clock.advance(1_600);
-    expect(copies.tryTake('b', 1_000)).toBe(true);
+    expect(copies.tryAcquire('b', 1_000)).toBe(true);
   });
 
-  it('takes none that the engine has no memory for', () => {
-    expect(copies.tryTake('a', 4_800)).toBe(false);
-    expect(copies.tryTake('a', 4_600)).toBe(true);
+  it('refuses a copy that exceeds the memory of the engine', () => {
+    expect(copies.tryAcquire('a', 4_800)).toBe(false);
+    expect(copies.tryAcquire('a', 4_600)).toBe(true);
   });
 
-  it('takes none once its own engine leaves', () => {
+  it('refuses copies once its own engine leaves', () => {
     report = {...report!, leavesInMs: 1_000};
-    expect(copies.tryTake('a', 100)).toBe(false);
+    expect(copies.tryAcquire('a', 100)).toBe(false);
   });
 });
--- a/packages/relay/src/sidecar/__tests__/reportPacer.test.ts
+++ b/packages/relay/src/sidecar/__tests__/reportPacer.test.ts
@@ -15,41 +15,41 @@
   };
 }
 
-/** Reports told in a second in which the memory in use rises steadily. */
-async function toldInOneSecond(links: number): Promise<number> {
+/** Counts the reports sent in one second while the memory in use grows steadily. */
+async function countSentInOneSecond(links: number): Promise<number> {
   const clock = new VirtualClock();
   const pacer = new ReportPacer(clock, () => links);
-  let told = 0;
+  let sentCount = 0;
   for (let tick = 0; tick < 50; tick++) {
     const next = report({memoryUsedTokens: tick * 500});
-    if (pacer.isWorthTelling(next)) {
-      pacer.noteTold(next);
-      told++;
+    if (pacer.shouldSend(next)) {
+      pacer.noteSent(next);
+      sentCount++;
     }
     await clock.advance(20);
   }
-  return told;
+  return sentCount;
 }
 
 describe('ReportPacer', () => {
-  it('tells less often the more links there are', async () => {
-    expect(await toldInOneSecond(5)).toBe(10);
-    expect(await toldInOneSecond(24)).toBe(3);
+  it('sends less often the more links there are', async () => {
+    expect(await countSentInOneSecond(5)).toBe(10);
+    expect(await countSentInOneSecond(24)).toBe(3);
   });
 
-  it('tells of a leave at once', () => {
+  it('sends a report of a leave at once', () => {
     const pacer = new ReportPacer(new VirtualClock(), () => 60);
-    pacer.noteTold(report());
-    expect(pacer.isWorthTelling(report({leavesInMs: 1_500}))).toBe(true);
+    pacer.noteSent(report());
+    expect(pacer.shouldSend(report({leavesInMs: 1_500}))).toBe(true);
   });
 
-  it('keeps a small change to itself until the last report is old', async () => {
+  it('delays a small change until the maximum interval has passed', async () => {
     const clock = new VirtualClock();
     const pacer = new ReportPacer(clock, () => 1);
-    pacer.noteTold(report());
+    pacer.noteSent(report());
     await clock.advance(300);
-    expect(pacer.isWorthTelling(report({memoryUsedTokens: 10}))).toBe(false);
+    expect(pacer.shouldSend(report({memoryUsedTokens: 10}))).toBe(false);
     await clock.advance(600);
-    expect(pacer.isWorthTelling(report({memoryUsedTokens: 10}))).toBe(true);
+    expect(pacer.shouldSend(report({memoryUsedTokens: 10}))).toBe(true);
   });
 });
--- a/packages/relay/src/sidecar/engineCommitments.ts
+++ b/packages/relay/src/sidecar/engineCommitments.ts
@@ -3,99 +3,99 @@
 import type {EngineLoadReport} from '../peers/peerMessages.js';
 
 /**
- * Room that an entry asked for is kept for it this long, unless it says sooner that
- * it sends the prompt here or elsewhere; the way there and back takes 2 ms.
+ * How long the engine's memory stays reserved for an entry that queried the load. The entry
+ * normally releases it much sooner, when it sends the prompt: a round trip takes 2 ms.
  */
-const ASKED_KEPT_MS = 50;
+const RESERVATION_TIMEOUT_MS = 50;
 
 /** A prompt that was sent to the engine. */
 export interface SentPrompt {
   readonly promptTokens: number;
 }
 
-interface Asked {
+/** Memory reserved for a prompt that an entry is about to send. */
+interface PromptReservation {
   readonly tokens: number;
   readonly cancelEnd: CancelTimer;
 }
 
 /**
- * What the engine has to read and will hold in memory, beyond what it reports itself:
- * prompts that wait in its queue are in no memory yet, and those that entries are just
- * about to send are not even in the queue.
+ * Adds to an engine's own report the prompts that it has yet to prefill: those in its queue
+ * occupy no memory yet, and those that entries are about to send are not even queued.
  *
- * Answers the pattern of a herd on freed room: when an engine has room again, all
- * entries where somebody waits hear of it at once, and
- * would all send to it, having been told that it has nothing to read. Who asks later is told of those who asked before.
+ * Prevents a thundering herd: when an engine frees memory, every entry with waiting requests
+ * learns of it at once, and without reservations all would send to an engine that reports no
+ * backlog. The answer to a load query includes the reservations of earlier queries.
  */
 export class EngineCommitments {
-  private readonly asked = new Map<string, Asked>();
+  private readonly reservations = new Map<string, PromptReservation>();
 
   constructor(
     private readonly clock: Clock,
-    /** The prompts that entries told of, by request. */
+    /** Prompts that entries reported as sent to the engine, by request id. */
     private readonly sent: ReadonlyMap<string, SentPrompt>,
   ) {}
 
-  /** An entry is about to send a prompt, here or elsewhere. */
-  noteAsked(requestId: string, tokens: number): void {
+  /** Reserves memory for a prompt that an entry may send here, or to another engine. */
+  reserve(requestId: string, tokens: number): void {
     this.release(requestId);
-    const cancelEnd = this.clock.after(ASKED_KEPT_MS, () => {
-      this.asked.delete(requestId);
+    const cancelEnd = this.clock.after(RESERVATION_TIMEOUT_MS, () => {
+      this.reservations.delete(requestId);
     });
-    this.asked.set(requestId, {tokens, cancelEnd});
+    this.reservations.set(requestId, {tokens, cancelEnd});
   }
 
-  /** The prompt was sent here, which is told apart, or goes elsewhere. */
+  /** Ends a reservation: the prompt was sent here, and is in `sent`, or goes elsewhere. */
   release(requestId: string): void {
-    this.asked.get(requestId)?.cancelEnd();
-    this.asked.delete(requestId);
+    this.reservations.get(requestId)?.cancelEnd();
+    this.reservations.delete(requestId);
   }
 
-  /** The load as entries are told it on their own. */
+  /** The load that is broadcast to all entries; leaves out reservations. */
   load(report: EngineReport): EngineLoadReport {
     return this.loadWith(report, 0);
   }
 
-  /** The load for one who asks: with what others have asked for. */
-  loadForAsker(report: EngineReport): EngineLoadReport {
+  /** The load that answers a query; includes the reservations of other requests. */
+  loadForQuery(report: EngineReport): EngineLoadReport {
     let tokens = 0;
-    for (const asked of this.asked.values()) tokens += asked.tokens;
+    for (const held of this.reservations.values()) tokens += held.tokens;
     return this.loadWith(report, tokens);
   }
 
   private loadWith(
     report: EngineReport,
-    askedTokens: number,
+    reservedTokens: number,
   ): EngineLoadReport {
     const {queued, active, memoryUsedTokens, memoryTokens} = report;
-    const unread = this.unreadTokens(report);
-    const decoding = report.runs.reduce(
+    const pendingTokens = this.pendingPrefillTokens(report);
+    const runTokens = report.runs.reduce(
       (sum, run) => sum + run.memoryTokens,
       0,
     );
-    // What is in memory without a row is being read, or is kept for another reason.
-    const unreadInMemory = Math.max(0, memoryUsedTokens - decoding);
-    const toCome = Math.max(0, unread - unreadInMemory);
+    // Memory that belongs to no reported run holds prompts in prefill, or other data.
+    const prefillMemoryTokens = Math.max(0, memoryUsedTokens - runTokens);
+    const unallocatedTokens = Math.max(0, pendingTokens - prefillMemoryTokens);
     return {
       type: 'engineLoad',
       queued,
       active,
-      memoryUsedTokens: memoryUsedTokens + toCome + askedTokens,
+      memoryUsedTokens: memoryUsedTokens + unallocatedTokens + reservedTokens,
       memoryTokens,
-      promptBacklogTokens: unread + askedTokens,
+      promptBacklogTokens: pendingTokens + reservedTokens,
       leavesInMs: report.leavesInMs,
       startedAtMs: report.startedAtMs,
     };
   }
 
-  /** Prompts that were sent and have made no event yet. */
-  private unreadTokens(report: EngineReport): number {
-    const rows = new Map(report.runs.map((row) => [row.requestId, row]));
+  /** Tokens still to prefill of the sent prompts that have produced no event yet. */
+  private pendingPrefillTokens(report: EngineReport): number {
+    const runs = new Map(report.runs.map((run) => [run.requestId, run]));
     let tokens = 0;
     for (const [requestId, {promptTokens}] of this.sent) {
-      const row = rows.get(requestId);
-      if (row !== undefined && row.eventsMade > 0) continue;
-      tokens += Math.max(0, promptTokens - (row?.memoryTokens ?? 0));
+      const run = runs.get(requestId);
+      if (run !== undefined && run.eventsMade > 0) continue;
+      tokens += Math.max(0, promptTokens - (run?.memoryTokens ?? 0));
     }
     return tokens;
   }
--- a/packages/relay/src/sidecar/engineLife.ts
+++ b/packages/relay/src/sidecar/engineLife.ts
@@ -9,20 +9,20 @@
 import {IncomingCopies} from './incomingCopies.js';
 import {ReportedPace} from './reportedPace.js';
 
-/** What the lives of one engine have in common. */
-export interface EngineLifeSources {
+/** What all incarnations of one engine share. */
+export interface EngineIncarnationOptions {
   readonly clock: Clock;
   readonly log: DecisionLogger;
   readonly metrics: SidecarMetrics;
   readonly switches: Switches;
-  /** The runs that entries told of, by request. */
+  /** Runs that entries reported, by request id. */
   readonly runs: Map<string, OwnedRun>;
-  /** The engine's newest report. */
+  /** Returns the engine's latest report. */
   report(): EngineReport | undefined;
 }
 
-/** What a sidecar believes of one life of its engine; ends with it. */
-export class EngineLife {
+/** A sidecar's state for one incarnation of its engine; replaced when the engine restarts. */
+export class EngineIncarnation {
   readonly copies: IncomingCopies;
   private readonly reportedPace: ReportedPace;
   private readonly grants: LinkGrants;
@@ -31,27 +31,27 @@
 
   constructor(
     readonly startedAtMs: number | undefined,
-    private readonly sources: EngineLifeSources,
+    private readonly options: EngineIncarnationOptions,
   ) {
-    this.copies = new IncomingCopies(sources.clock, () => sources.report());
-    const pace = new EnginePace(sources.switches.learnedPace);
+    this.copies = new IncomingCopies(options.clock, () => options.report());
+    const pace = new EnginePace(options.switches.learnedPace);
     this.reportedPace = new ReportedPace(pace);
-    this.grants = new LinkGrants({...sources, pace});
+    this.grants = new LinkGrants({...options, pace});
   }
 
-  /** True when a report is of a life that began before this one. */
-  isAfter({startedAtMs}: EngineReport): boolean {
+  /** True when the report comes from an incarnation that started before this one. */
+  isNewerThan({startedAtMs}: EngineReport): boolean {
     const ownMs = this.startedAtMs;
     if (startedAtMs === undefined || ownMs === undefined) return false;
     return startedAtMs < ownMs;
   }
 
-  /** Takes a report of this life; begins to hand out grants when it leaves. */
-  note({runs, leavesInMs}: EngineReport): void {
-    const {clock, switches} = this.sources;
-    this.reportedPace.note(runs, clock.nowMs());
+  /** Applies a report of this incarnation; starts to grant run moves once the engine leaves. */
+  noteReport({runs, leavesInMs}: EngineReport): void {
+    const {clock, switches} = this.options;
+    this.reportedPace.noteRuns(runs, clock.nowMs());
     if (leavesInMs === undefined) {
-      // Another engine at the address, where engines do not tell their start.
+      // Where engines do not report their start time, this is a new engine at the address.
       this.isEvacuating = false;
     } else if (!this.isEvacuating && switches.runMoves) {
       this.isEvacuating = true;
@@ -59,12 +59,12 @@
     }
   }
 
-  /** The owner of a grant is done with the engine's link. */
-  noteMoved(requestId: string, isMoved: boolean): void {
+  /** Frees the engine's link after the owning entry has finished a granted move. */
+  finishMove(requestId: string, isMoved: boolean): void {
     this.grants.noteDone(requestId, isMoved);
   }
 
-  /** The engine has started again, or the sidecar stops. */
+  /** Stops granting moves, as the engine restarted or the sidecar stops. */
   end(): void {
     this.ended.abort();
   }
--- a/packages/relay/src/sidecar/entryLinks.ts
+++ b/packages/relay/src/sidecar/entryLinks.ts
@@ -4,13 +4,13 @@
 import type {Members} from '../peers/peerMessages.js';
 
 /**
- * The entries that a sidecar links to, as entries tell of them. In a large fleet
- * these are those of its own zone; links to others are only a beginning.
+ * Chooses the entries that a sidecar links to, from the membership updates of entries. In a
+ * large fleet it keeps only links to entries of its own zone, once it knows any.
  */
 export class EntryLinks {
-  /** Zones of the entries that are known, by address. */
+  /** Zones of the known entries, by address. */
   private readonly zones = new Map<string, string>();
-  /** Addresses that are dialled, those of unknown entries too. */
+  /** Addresses to link to, including seeds whose entry is not known yet. */
   private readonly dialled = new Map<string, EndpointAddress>();
 
   constructor(
@@ -18,32 +18,32 @@
     private readonly mesh: Pick<PeerMesh, 'dial' | 'drop' | 'release'>,
   ) {}
 
-  /** Keeps a link to an entry until others are found to be nearer. */
+  /** Keeps a link to an entry until a membership update shows closer ones. */
   dial(address: EndpointAddress): void {
     this.dialled.set(formatAddress(address), address);
     this.mesh.dial(address);
   }
 
-  /** An entry told of entries that came or went. */
-  note({entries, gone, isZoned}: Members): void {
+  /** Applies an entry's update of added and removed entries. */
+  updateMembers({entries, gone, isZoned}: Members): void {
     for (const address of gone) this.forget(address);
     for (const {address, zone} of entries) this.zones.set(address, zone);
-    const isNearOnly = isZoned && this.knowsNear;
+    const isOwnZoneOnly = isZoned && this.knowsEntryOfOwnZone;
     for (const [name, address] of [...this.dialled]) {
-      if (!isNearOnly || this.zones.get(name) === this.zone) continue;
+      if (!isOwnZoneOnly || this.zones.get(name) === this.zone) continue;
       this.dialled.delete(name);
       this.mesh.drop(address);
     }
     for (const [name, zone] of this.zones) {
       const address = parseAddress(name);
       if (address === undefined) continue;
-      if (!isNearOnly || zone === this.zone) this.dial(address);
+      if (!isOwnZoneOnly || zone === this.zone) this.dial(address);
     }
   }
 
   /**
-   * Its registration is gone, which a lapse of its lease may cause: a link that
-   * works is no worse for it, and stays until it ends.
+   * Stops dialling an entry whose registration is gone. An open link stays until it closes:
+   * the registration may be gone only because its lease expired.
    */
   private forget(name: string): void {
     this.zones.delete(name);
@@ -52,7 +52,7 @@
     if (address !== undefined) this.mesh.release(address);
   }
 
-  private get knowsNear(): boolean {
+  private get knowsEntryOfOwnZone(): boolean {
     return [...this.zones.values()].includes(this.zone);
   }
 }
--- a/packages/relay/src/sidecar/incomingCopies.ts
+++ b/packages/relay/src/sidecar/incomingCopies.ts
@@ -1,15 +1,15 @@
 import type {Clock} from '@lilacledge/shared';
 import type {EngineReport} from '../model/index.js';
 
-/** A copy that was not declared done by then no longer holds the link. */
-const MOST_HELD_MS = 1_500;
+/** A copy that was not reported as done after this time no longer holds the link. */
+const COPY_TIMEOUT_MS = 1_500;
 
-/** Share of the engine's memory that copies may fill. */
-const FULL_SHARE = 0.97;
+/** Share of the engine's memory up to which copies are accepted. */
+const MAX_MEMORY_SHARE = 0.97;
 
 /**
- * Lets one run at a time be copied to the engine. Copies queue on its link, and
- * the last part of one, for which its run is stopped, would wait behind another.
+ * Allows one run at a time to be copied to the engine. Concurrent copies would share its link,
+ * and the final part of a copy, during which the run is stopped, would wait for another copy.
  */
 export class IncomingCopies {
   private current:
@@ -20,15 +20,15 @@
     private readonly report: () => EngineReport | undefined,
   ) {}
 
-  /** Takes the link and the memory for a copy, if both are free. */
-  tryTake(requestId: string, tokens: number): boolean {
+  /** Acquires the link for a copy if it is free and the engine has memory for the tokens. */
+  tryAcquire(requestId: string, tokens: number): boolean {
     const nowMs = this.clock.nowMs();
-    const isTaken =
+    const isHeldByOther =
       this.current !== undefined &&
       this.current.requestId !== requestId &&
       nowMs < this.current.untilMs;
-    if (isTaken || !this.hasRoom(tokens)) return false;
-    this.current = {requestId, untilMs: nowMs + MOST_HELD_MS};
+    if (isHeldByOther || !this.hasMemory(tokens)) return false;
+    this.current = {requestId, untilMs: nowMs + COPY_TIMEOUT_MS};
     return true;
   }
 
@@ -36,11 +36,11 @@
     if (this.current?.requestId === requestId) this.current = undefined;
   }
 
-  private hasRoom(tokens: number): boolean {
+  private hasMemory(tokens: number): boolean {
     const report = this.report();
     if (report === undefined) return true;
     if (report.leavesInMs !== undefined) return false;
     const {memoryUsedTokens, memoryTokens} = report;
-    return memoryUsedTokens + tokens <= memoryTokens * FULL_SHARE;
+    return memoryUsedTokens + tokens <= memoryTokens * MAX_MEMORY_SHARE;
   }
 }
--- a/packages/relay/src/sidecar/reportedPace.ts
+++ b/packages/relay/src/sidecar/reportedPace.ts
@@ -1,38 +1,42 @@
 import type {EnginePace} from '@lilacledge/policy';
 import type {ReportedRun} from '../model/index.js';
 
-/** Reports are renewed several times a second: a run is timed over longer. */
-const TIMED_MS = 1_000;
+/** The engine renews its figures only a few times a second, so a run is timed over longer. */
+const MIN_SAMPLE_INTERVAL_MS = 1_000;
 
-interface Mark {
+/** A run's memory at the time of a report. */
+interface MemorySample {
   readonly atMs: number;
   readonly memoryTokens: number;
 }
 
-/** Times an engine's runs by how their memory grows from report to report. */
+/** Learns an engine's output speed from the memory growth of its runs between reports. */
 export class ReportedPace {
-  private marks = new Map<string, Mark>();
+  private samples = new Map<string, MemorySample>();
 
   constructor(private readonly pace: EnginePace) {}
 
-  /** Takes the runs of a report; those that read their prompt are left out. */
-  note(runs: readonly ReportedRun[], nowMs: number): void {
-    const marks = new Map<string, Mark>();
+  /** Applies the runs of a report; ignores those that are still in prefill. */
+  noteRuns(runs: readonly ReportedRun[], nowMs: number): void {
+    const samples = new Map<string, MemorySample>();
     for (const {requestId, memoryTokens, eventsMade} of runs) {
       if (eventsMade === 0) continue;
-      const mark = this.marks.get(requestId);
-      if (mark === undefined || nowMs - mark.atMs >= TIMED_MS) {
-        if (mark !== undefined) {
+      const sample = this.samples.get(requestId);
+      if (
+        sample === undefined ||
+        nowMs - sample.atMs >= MIN_SAMPLE_INTERVAL_MS
+      ) {
+        if (sample !== undefined) {
           this.pace.noteOutput(
-            memoryTokens - mark.memoryTokens,
-            nowMs - mark.atMs,
+            memoryTokens - sample.memoryTokens,
+            nowMs - sample.atMs,
           );
         }
-        marks.set(requestId, {atMs: nowMs, memoryTokens});
+        samples.set(requestId, {atMs: nowMs, memoryTokens});
       } else {
-        marks.set(requestId, mark);
+        samples.set(requestId, sample);
       }
     }
-    this.marks = marks;
+    this.samples = samples;
   }
 }
--- a/packages/relay/src/sidecarMetrics.ts
+++ b/packages/relay/src/sidecarMetrics.ts
@@ -1,9 +1,10 @@
 import {Counter, Gauge, Registry} from 'prom-client';
 import type {EngineReport} from './model/index.js';
 
-/** What a sidecar counts. */
+/** Metrics of one sidecar process. */
 export interface SidecarMetrics {
   readonly registry: Registry;
+  /** Counts grants of a leaving engine's link, by their outcome. */
   readonly grants: Counter;
   noteReport(report: EngineReport): void;
 }
