--- a/packages/sidecar/src/adapters/__tests__/httpEngine.test.ts
+++ b/packages/sidecar/src/adapters/__tests__/httpEngine.test.ts
@@ -21,7 +21,7 @@
   traceparent: '',
 };
 
-describe('an engine over HTTP', () => {
+describe('createHttpEngine', () => {
   let server: Server | undefined;
 
   afterEach(() => {
@@ -62,7 +62,7 @@
     }
   }
 
-  it('yields tokens and one end', async () => {
+  it('yields the tokens and one done event', async () => {
     const events = await collect(await serve(200, TOKEN, TOKEN, LAST, DONE));
     const texts = events.flatMap((event) =>
       event.type === 'tokens' ? event.texts : [],
@@ -76,16 +76,16 @@
   });
 
   it.each([
-    ['no token', 200, [], 'mayHaveRun'],
-    ['tokens without an end', 200, [TOKEN], 'mayHaveRun'],
-    ['a last chunk without the end mark', 200, [TOKEN, LAST], 'mayHaveRun'],
-    ['an end mark without a reason', 200, [TOKEN, DONE], 'mayHaveRun'],
-    ['a status in place of a stream', 503, [], 'notRun'],
-  ])('answers %s with its verdict', async (_, status, chunks, verdict) => {
+    ['an empty stream', 200, [], 'mayHaveRun'],
+    ['tokens without an end of stream', 200, [TOKEN], 'mayHaveRun'],
+    ['a finish reason without [DONE]', 200, [TOKEN, LAST], 'mayHaveRun'],
+    ['[DONE] without a finish reason', 200, [TOKEN, DONE], 'mayHaveRun'],
+    ['an error status', 503, [], 'notRun'],
+  ])('maps %s to its verdict', async (_, status, chunks, verdict) => {
     expect(await verdictOf(await serve(status, ...chunks))).toBe(verdict);
   });
 
-  it('says not run when nothing listens', async () => {
+  it('throws the verdict notRun when the connection is refused', async () => {
     const url = await serve(200);
     server!.close();
     server!.closeAllConnections();
--- a/packages/sidecar/src/adapters/httpEngine.ts
+++ b/packages/sidecar/src/adapters/httpEngine.ts
@@ -23,9 +23,9 @@
 const LOAD_TIMEOUT_MS = 1_000;
 
 /**
- * Speaks the completions form over HTTP with server-sent events. Extras of the
- * engine: `priority` in the request, `GET /engine/load` for the load report;
- * closing the connection cancels.
+ * Client of the completions API over HTTP with server-sent events. The engine
+ * adds `priority` to the request and `GET /engine/load` for its load report, and
+ * cancels a generation when the connection is closed.
  */
 export function createHttpEngine(url: string): EnginePort {
   const dispatcher = new Agent({
@@ -62,17 +62,17 @@
         'x-request-id': engineRequest.generationId,
         traceparent: engineRequest.traceparent,
       },
-      body: toBody(engineRequest),
+      body: createBody(engineRequest),
       signal,
     });
-    if (response.statusCode !== 200) throw await toRefusal(response);
+    if (response.statusCode !== 200) throw await createRefusal(response);
     yield* readEvents(response.body);
   } catch (error) {
     throw toEndpointError(error);
   }
 }
 
-function toBody(engineRequest: EngineRequest): string {
+function createBody(engineRequest: EngineRequest): string {
   return JSON.stringify({
     model: engineRequest.model,
     prompt: engineRequest.prompt,
@@ -83,12 +83,12 @@
   });
 }
 
-async function toRefusal(
+async function createRefusal(
   response: Dispatcher.ResponseData,
 ): Promise<EndpointError> {
   const text = await response.body.text();
   const detail = `status ${response.statusCode}: ${text.slice(0, 200)}`;
-  // A status in place of a stream is the engine's own word: nothing was run.
+  // The engine answers with an error status only if it has run nothing.
   return new EndpointError(Verdict.NOT_RUN, detail);
 }
 
--- a/packages/sidecar/src/adapters/httpPlain.ts
+++ b/packages/sidecar/src/adapters/httpPlain.ts
@@ -2,7 +2,7 @@
 import type {PlainPort} from '../ports/plainPort.js';
 import {toEndpointError} from './toEndpointError.js';
 
-/** Calls a plain service over HTTP, once and without any retry. */
+/** Client of a plain service over HTTP, without retries. */
 export function createHttpPlain(url: string, timeoutMs: number): PlainPort {
   return {
     async call(plainRequest) {
--- a/packages/sidecar/src/adapters/toEndpointError.ts
+++ b/packages/sidecar/src/adapters/toEndpointError.ts
@@ -1,19 +1,19 @@
 import {Verdict} from '@lilacledge/shared';
 import {EndpointError} from '../ports/endpointError.js';
 
-/** Codes of attempts that never reached the endpoint. */
-const UNSENT_CODES: ReadonlySet<string> = new Set([
+/** Error codes of requests that were never sent to the endpoint. */
+const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
   'UND_ERR_CONNECT_TIMEOUT',
 ]);
 
-/** Says of a failed HTTP request whether it may have run. */
+/** Converts the error of an HTTP request, with the verdict whether it ran. */
 export function toEndpointError(error: unknown): EndpointError {
   if (error instanceof EndpointError) return error;
   const code = (error as {code?: string}).code ?? '';
-  const verdict = UNSENT_CODES.has(code)
+  const verdict = NOT_SENT_CODES.has(code)
     ? Verdict.NOT_RUN
     : Verdict.MAY_HAVE_RUN;
   return new EndpointError(verdict, code === '' ? String(error) : code);
--- a/packages/sidecar/src/callService.ts
+++ b/packages/sidecar/src/callService.ts
@@ -2,15 +2,15 @@
 import type {Call, Link, LoadReport} from '@lilacledge/protocol';
 import {SidecarState} from '@lilacledge/protocol';
 import {FailureKind, notRun} from '@lilacledge/shared';
-import {callFreely, KeyedCalls} from './keyedCalls.js';
-import type {CallOutcome, SlotBook} from './keyedCalls.js';
+import {callWithoutKey, KeyedCalls} from './keyedCalls.js';
+import type {CallOutcome, SlotOwnership} from './keyedCalls.js';
 import type {PlainPort} from './ports/plainPort.js';
 import type {SidecarMetrics} from './sidecarMetrics.js';
 import type {SidecarPorts} from './sidecarPorts.js';
 
 const DRAIN_RETRY_MS = 500;
 
-/** Calls of one plain service. */
+/** Runs the calls to one plain service. */
 export class CallService {
   private readonly keyed: KeyedCalls;
   private running = 0;
@@ -18,7 +18,7 @@
   constructor(
     private readonly ports: SidecarPorts,
     private readonly plain: PlainPort,
-    slots: SlotBook,
+    slots: SlotOwnership,
     settings: SidecarSettings,
     private readonly metrics: SidecarMetrics,
   ) {
@@ -29,10 +29,10 @@
     return this.running;
   }
 
-  /** Runs a call and answers it on its link, if that is still open. */
+  /** Runs a call and sends its outcome on the link. */
   async call(link: Link, message: Call, state: SidecarState): Promise<void> {
     this.metrics.requests.inc({kind: 'call'});
-    const outcome = await this.outcomeOf(message, state);
+    const outcome = await this.run(message, state);
     const {callId} = message;
     if (outcome.kind === 'failed') {
       const {failure} = outcome;
@@ -60,11 +60,8 @@
     };
   }
 
-  private async outcomeOf(
-    message: Call,
-    state: SidecarState,
-  ): Promise<CallOutcome> {
-    // A draining sidecar still answers keys that it has a record of.
+  private async run(message: Call, state: SidecarState): Promise<CallOutcome> {
+    // A draining sidecar still returns the outcomes of recorded keys.
     if (state === SidecarState.DRAINING && message.key === '') {
       const failure = notRun(
         FailureKind.DRAINING,
@@ -78,11 +75,11 @@
       message.traceparent,
     );
     this.running++;
-    const passed = {...message, traceparent: span.traceparent};
+    const forwarded = {...message, traceparent: span.traceparent};
     const outcome =
       message.key === ''
-        ? await callFreely(this.plain, passed)
-        : await this.keyed.call(passed);
+        ? await callWithoutKey(this.plain, forwarded)
+        : await this.keyed.call(forwarded);
     this.running--;
     span.end(outcome.kind === 'answered' ? 'ok' : 'failed');
     return outcome;
--- a/packages/sidecar/src/createSidecar.ts
+++ b/packages/sidecar/src/createSidecar.ts
@@ -15,39 +15,39 @@
 import type {SidecarPorts} from './sidecarPorts.js';
 import {SlotOwner} from './slotOwner.js';
 
-/** Shortest time between two load reports on a link. */
-const REPORT_INTERVAL_MS = 500;
+/** Minimum time between two load reports on a link. */
+const MIN_REPORT_INTERVAL_MS = 500;
 
-/** With many links reports are rarer, so that all links together are bounded. */
-const REPORT_PER_LINK_MS = 20;
-const CAPACITY_POLL_MS = 2_000;
-const DRAIN_CHECK_MS = 50;
+/** Added to the interval for each link, to bound the total report rate. */
+const REPORT_INTERVAL_PER_LINK_MS = 20;
+const CAPACITY_POLL_INTERVAL_MS = 2_000;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
-/** A running sidecar, apart from the sockets that it is reached by. */
+/** A running sidecar, without its network sockets. */
 export interface Sidecar {
   readonly incarnation: string;
   readonly isReady: boolean;
   readonly state: SidecarState;
   readonly config: ConfigCache;
   /**
-   * Starts the tasks. The process must listen on its address before this, for
-   * that proves that its predecessor there is dead.
+   * Starts the background loops. The process must already listen on its
+   * address: that proves that its predecessor at this address is dead.
    */
   start(): void;
-  /** Serves one link until it ends. */
+  /** Handles the messages of one link until the link ends. */
   serve(link: Link): Promise<void>;
   load(): LoadReport;
-  /** The slots of keys that this sidecar owns now. */
+  /** The key slots that this sidecar currently owns. */
   grants(): readonly SlotGrant[];
-  /** Takes no new work from now on. */
+  /** Stops accepting new work. */
   startDrain(reason: string): void;
-  /** Drains, waits for what runs, and stops all tasks. */
+  /** Drains, waits for running work up to a time limit, and stops all loops. */
   shutdown(): Promise<void>;
-  /** Stops all tasks at once, as a kill would. */
+  /** Stops all loops and closes all links at once, without draining. */
   stop(): void;
 }
 
-/** Creates a sidecar; its tasks wait for `start`. */
+/** Creates a sidecar; its background loops begin with `start`. */
 export function createSidecar(
   ports: SidecarPorts,
   settings: SidecarSettings,
@@ -56,7 +56,7 @@
   const logger = ports.logger.part('sidecar');
   const metrics = createSidecarMetrics(ports.metrics);
   const incarnation = randomBytes(6).toString('base64url');
-  const stopped = new AbortController();
+  const stopController = new AbortController();
   const config = new ConfigCache(clock);
   const links = new Set<Link>();
   let state: SidecarState = SidecarState.SERVING;
@@ -68,7 +68,7 @@
     address: `${settings.host}:${settings.port}`,
     grantMs: settings.slotGrantMs,
     keySkewMs: settings.keySkewMs,
-    roundMs: settings.slotRoundMs,
+    roundIntervalMs: settings.slotRoundMs,
   });
   const generations =
     endpoint.kind === 'engine'
@@ -88,14 +88,14 @@
   slots.onChange = () => broadcast({type: 'slots', grants: slots.grants()});
   config.onChange((known) => {
     metrics.revision.set(known.head.revision);
-    generations?.useConfig(known.config);
+    generations?.applyConfig(known.config);
     broadcast({type: 'configOffer', revision: known.head.revision});
   });
 
   function start(): void {
-    void reportTask();
-    if (calls !== undefined) void slotTask();
-    if (endpoint.kind === 'engine') void capacityTask();
+    void runReportLoop();
+    if (calls !== undefined) void runSlotLoop();
+    if (endpoint.kind === 'engine') void runCapacityLoop();
   }
 
   function broadcast(message: Message): void {
@@ -125,12 +125,12 @@
       link.send({type: 'slots', grants: slots.grants()});
     }
     link.send({type: 'configOffer', revision: config.revision});
-    for await (const message of link.receive()) handle(link, message);
+    for await (const message of link.receive()) handleMessage(link, message);
     links.delete(link);
     metrics.links.set(links.size);
     generations?.detachAll(link);
     const end = await link.ended;
-    if (end.kind !== 'closed') metrics.brokenLinks.inc({reason: end.kind});
+    if (end.kind !== 'closed') metrics.failedLinks.inc({reason: end.kind});
     logger.info('Link ended.', {
       peer: greeting.peer.instanceId,
       reason: end.kind,
@@ -139,23 +139,23 @@
   }
 
   function refuseLink(link: Link, detail: string): void {
-    metrics.brokenLinks.inc({reason: 'unauthenticated'});
+    metrics.failedLinks.inc({reason: 'unauthenticated'});
     logger.warn('Link refused.', {detail});
     link.close({kind: 'unauthenticated', detail});
   }
 
-  function handle(link: Link, message: Message): void {
+  function handleMessage(link: Link, message: Message): void {
     switch (message.type) {
       case 'submit':
-        if (generations === undefined) return wrongKind(link, message.type);
+        if (generations === undefined) return rejectMessage(link, message.type);
         generations.submit(link, message, state);
         return;
       case 'resume':
-        if (generations === undefined) return wrongKind(link, message.type);
+        if (generations === undefined) return rejectMessage(link, message.type);
         generations.resume(link, message);
         return;
       case 'call':
-        if (calls === undefined) return wrongKind(link, message.type);
+        if (calls === undefined) return rejectMessage(link, message.type);
         void calls.call(link, message, state);
         return;
       case 'credit':
@@ -173,13 +173,13 @@
         startDrain(message.reason);
         return;
       case 'configOffer':
-        answer(link, config.answerOffer(message.revision));
+        sendIfDefined(link, config.answerOffer(message.revision));
         return;
       case 'configRequest':
-        answer(link, config.answerRequest(message.knownRevision));
+        sendIfDefined(link, config.answerRequest(message.knownRevision));
         return;
       case 'configTransfer':
-        adopt(message);
+        adoptConfig(message);
         return;
       case 'challenge':
       case 'hello':
@@ -192,25 +192,25 @@
       case 'report':
       case 'slots':
       case 'pong':
-        return wrongKind(link, message.type);
+        return rejectMessage(link, message.type);
       default:
         assertNever(message);
     }
   }
 
-  function wrongKind(link: Link, type: string): void {
-    logger.warn('Message does not fit this link.', {type});
+  function rejectMessage(link: Link, type: string): void {
+    logger.warn('Unexpected message type on link.', {type});
     link.close({kind: 'malformed', detail: `unexpected ${type}`});
   }
 
-  function answer(link: Link, message: Message | undefined): void {
+  function sendIfDefined(link: Link, message: Message | undefined): void {
     if (message !== undefined) link.send(message);
   }
 
-  function adopt(transfer: ConfigTransfer): void {
+  function adoptConfig(transfer: ConfigTransfer): void {
     const result = config.adoptTransfer(transfer);
     if (result === 'adopted' || result === 'known') return;
-    logger.warn('Configuration not taken.', {
+    logger.warn('Configuration transfer rejected.', {
       result,
       revision: transfer.revision,
     });
@@ -221,77 +221,77 @@
     state = SidecarState.DRAINING;
     logger.info('Draining.', {reason});
     broadcast({type: 'report', load: load()});
-    void slots.release().catch((error: unknown) => {
-      logger.warn('Slots not released.', {error: String(error)});
+    void slots.releaseAll().catch((error: unknown) => {
+      logger.warn('Failed to release key slots.', {error: String(error)});
     });
   }
 
   async function shutdown(): Promise<void> {
     startDrain('shutdown');
     const deadlineMs = clock.nowMs() + settings.drainTimeoutMs;
-    while (openCount() > 0 && clock.nowMs() < deadlineMs) {
-      await sleep(clock, DRAIN_CHECK_MS);
+    while (totalOpenCount() > 0 && clock.nowMs() < deadlineMs) {
+      await sleep(clock, DRAIN_POLL_INTERVAL_MS);
     }
-    generations?.endAll('the endpoint had to stop');
-    await sleep(clock, DRAIN_CHECK_MS);
+    generations?.cancelAll('the endpoint had to stop');
+    await sleep(clock, DRAIN_POLL_INTERVAL_MS);
     stop();
   }
 
-  function openCount(): number {
+  function totalOpenCount(): number {
     return (generations?.openCount ?? 0) + (calls?.openCount ?? 0);
   }
 
   function stop(): void {
-    stopped.abort();
+    stopController.abort();
     for (const link of links) link.close({kind: 'closed', detail: 'stopped'});
   }
 
-  /** Sends the load to all links when it has changed, at a bounded rate. */
-  async function reportTask(): Promise<void> {
-    let last = '';
-    while (!stopped.signal.aborted) {
+  /** Reports the load to all links when it has changed, at a bounded rate. */
+  async function runReportLoop(): Promise<void> {
+    let lastRounded = '';
+    while (!stopController.signal.aborted) {
       const report = load();
-      const text = JSON.stringify(roughen(report));
-      if (text !== last) broadcast({type: 'report', load: report});
-      last = text;
+      const rounded = JSON.stringify(roundForComparison(report));
+      if (rounded !== lastRounded) broadcast({type: 'report', load: report});
+      lastRounded = rounded;
       metrics.running.set(report.running);
       metrics.queued.set(report.queued);
-      metrics.controlBytes.set(controlBytes());
+      metrics.controlBytes.set(totalControlBytes());
       const intervalMs = Math.max(
-        REPORT_INTERVAL_MS,
-        REPORT_PER_LINK_MS * links.size,
+        MIN_REPORT_INTERVAL_MS,
+        REPORT_INTERVAL_PER_LINK_MS * links.size,
       );
-      await sleep(clock, intervalMs, stopped.signal);
+      await sleep(clock, intervalMs, stopController.signal);
     }
   }
 
-  function controlBytes(): number {
+  function totalControlBytes(): number {
     let sum = 0;
     for (const link of links) sum += link.traffic.sentControlBytes;
     return sum;
   }
 
-  async function slotTask(): Promise<void> {
-    while (!stopped.signal.aborted && state === SidecarState.SERVING) {
+  async function runSlotLoop(): Promise<void> {
+    while (!stopController.signal.aborted && state === SidecarState.SERVING) {
       try {
-        await slots.round();
+        await slots.runRound();
       } catch (error) {
-        logger.warn('Slots not renewed.', {error: String(error)});
+        logger.warn('Failed to update key slots.', {error: String(error)});
       }
-      await sleep(clock, settings.slotRoundMs, stopped.signal);
+      await sleep(clock, settings.slotRoundMs, stopController.signal);
     }
   }
 
-  async function capacityTask(): Promise<void> {
+  async function runCapacityLoop(): Promise<void> {
     if (endpoint.kind !== 'engine') return;
-    while (!stopped.signal.aborted) {
+    while (!stopController.signal.aborted) {
       try {
         const engineLoad = await endpoint.engine.readLoad();
         generations!.scheduler.setCapacity(engineLoad);
       } catch (error) {
-        logger.debug('Engine load not read.', {error: String(error)});
+        logger.debug('Failed to read engine load.', {error: String(error)});
       }
-      await sleep(clock, CAPACITY_POLL_MS, stopped.signal);
+      await sleep(clock, CAPACITY_POLL_INTERVAL_MS, stopController.signal);
     }
   }
 
@@ -314,8 +314,8 @@
   };
 }
 
-/** Leaves out changes that are too small to be worth a message. */
-function roughen(load: LoadReport): unknown {
+/** Rounds the load so that changes too small to report compare as equal. */
+function roundForComparison(load: LoadReport): unknown {
   return {
     ...load,
     backlogTokens: Math.round(Math.log2(1 + load.backlogTokens) * 4),
--- a/packages/sidecar/src/engineScheduler.ts
+++ b/packages/sidecar/src/engineScheduler.ts
@@ -20,56 +20,59 @@
 import {PromptPacer} from './promptPacer.js';
 import {RateEstimate} from './rateEstimate.js';
 import {enginePriority, isShort, toClaim} from './scheduled.js';
-import type {Scheduled} from './scheduled.js';
+import type {ScheduledGeneration} from './scheduled.js';
 
 export interface SchedulerPorts {
   readonly clock: Clock;
-  /** Runs one admitted generation to its end at the engine. */
+  /** Runs one admitted generation at the engine until it ends. */
   readonly run: (generation: Generation, priority: number) => Promise<void>;
-  /** Notes a decision about a request, for `explain`. */
-  readonly note: (requestId: string, what: string) => void;
+  /** Logs a scheduling decision about a request. */
+  readonly logDecision: (requestId: string, what: string) => void;
 }
 
-/** Waiting generations tried behind one that does not fit. */
-const MAX_BYPASSED = 8;
+/** A pass over the queue ends at this many generations that do not fit. */
+const MAX_BYPASSED_PER_PASS = 8;
 
-/** A waiting generation is passed by no other after this many ageing steps. */
-const BYPASS_AGEING_STEPS = 3;
+/** A generation that has waited this many ageing steps is not bypassed. */
+const MAX_BYPASS_AGEING_STEPS = 3;
 
-/** The queue is looked at again at this interval while it holds anything. */
-const RECHECK_MS = 10;
+/** Interval at which a non-empty queue is rechecked. */
+const RECHECK_INTERVAL_MS = 10;
 
-/** A generation without a token for so many usual gaps was pushed aside. */
-const PUSHED_ASIDE_PACES = 12;
-const PUSHED_ASIDE_MIN_MS = 300;
+/**
+ * A running generation counts as preempted by the engine when it has produced
+ * no token for this many mean token times, and at least for the minimum gap.
+ */
+const PREEMPTION_GAP_TOKEN_TIMES = 12;
+const MIN_PREEMPTION_GAP_MS = 300;
 
-/** Length of a short answer, for the reported wait. */
-const SHORT_TOKENS = 128;
+/** Assumed size of a short request, for the reported wait. */
+const SHORT_REQUEST_TOKENS = 128;
 
-/** A short request waits this long before others are pushed aside for it. */
-const DISPLACE_AFTER_MS = 300;
+/** A short request waits this long before it may preempt others. */
+const PREEMPT_AFTER_MS = 300;
 
-/** Share of the memory that short requests may take in this way. */
-const DISPLACE_SHARE = 0.25;
+/** Share of the engine's memory that short requests may hold by preemption. */
+const PREEMPT_MEMORY_SHARE = 0.25;
 
-/** Stands for the engine until it has said how large it is. */
-const UNKNOWN_CAPACITY: EngineCapacity = {memoryTokens: 16_384, maxBatch: 16};
+/** Assumed until the engine has reported its capacity. */
+const DEFAULT_CAPACITY: EngineCapacity = {memoryTokens: 16_384, maxBatch: 16};
 
 /**
- * Decides which waiting generation is handed to the engine, and when. It is
- * the engine's only giver of work, so its own account of the memory is exact
- * up to what the running generations will still produce.
+ * Decides which waiting generation is sent to the engine, and when. No one else
+ * sends work to the engine, so the scheduler knows the memory in use exactly;
+ * only the remaining output of running generations is estimated.
  */
 export class EngineScheduler {
-  private readonly waiting: Scheduled[] = [];
-  private readonly running = new Map<Generation, Scheduled>();
+  private readonly waiting: ScheduledGeneration[] = [];
+  private readonly running = new Map<Generation, ScheduledGeneration>();
   private readonly estimator = new LengthEstimator();
-  private readonly use: OrganisationUse;
-  private readonly admitted: RateEstimate;
+  private readonly organisationUse: OrganisationUse;
+  private readonly admissionRate: RateEstimate;
   private readonly tokenTime = new RateEstimate(256);
   private readonly pacer = new PromptPacer();
-  private capacity = UNKNOWN_CAPACITY;
-  private recheck: CancelTimer | undefined;
+  private capacity = DEFAULT_CAPACITY;
+  private pendingRecheck: CancelTimer | undefined;
   /** Called when the load has changed. */
   onChange: () => void = () => {};
 
@@ -77,8 +80,8 @@
     private readonly ports: SchedulerPorts,
     private policy: PolicySettings,
   ) {
-    this.use = new OrganisationUse(ports.clock);
-    this.admitted = new RateEstimate(48);
+    this.organisationUse = new OrganisationUse(ports.clock);
+    this.admissionRate = new RateEstimate(48);
   }
 
   get openCount(): number {
@@ -93,20 +96,20 @@
     this.capacity = capacity;
   }
 
-  /** Queues a generation, or says at once why it cannot be served. */
+  /** Queues a generation, or returns why it is refused. */
   submit(generation: Generation): Failure | undefined {
     const item = this.toScheduled(generation);
-    const refusal = this.refuseEarly(item);
+    const refusal = this.refuseOnSubmit(item);
     if (refusal !== undefined) return refusal;
     this.waiting.push(item);
-    this.ports.note(generation.request.requestId, 'queued');
-    this.pump();
+    this.ports.logDecision(generation.request.requestId, 'queued');
+    this.admitWaiting();
     this.onChange();
     return undefined;
   }
 
-  /** Takes a waiting generation out; false when it is not waiting. */
-  withdraw(generation: Generation): boolean {
+  /** Removes a generation from the queue; false if it was not queued. */
+  dequeue(generation: Generation): boolean {
     const index = this.waiting.findIndex(
       (item) => item.generation === generation,
     );
@@ -116,22 +119,25 @@
     return true;
   }
 
-  /** Counts the tokens that the engine has just produced. */
-  progress(generation: Generation): void {
+  /** Updates the estimates with tokens that the engine just produced. */
+  noteProgress(generation: Generation): void {
     const item = this.running.get(generation);
     if (item === undefined) return;
-    const produced = generation.produced;
-    this.measurePace(item, produced - item.counted);
-    item.lengths.advance(item.counted, produced);
-    this.use.add(generation.request.organisationId, produced - item.counted);
-    item.counted = produced;
+    const producedTokens = generation.producedTokens;
+    this.recordTokenTime(item, producedTokens - item.countedTokens);
+    item.lengthModel.advance(item.countedTokens, producedTokens);
+    this.organisationUse.add(
+      generation.request.organisationId,
+      producedTokens - item.countedTokens,
+    );
+    item.countedTokens = producedTokens;
   }
 
-  /** Time of one token at this engine, from gaps within streams. */
-  private measurePace(item: Scheduled, tokens: number): void {
+  /** Measures the time per token at this engine by the gaps within a stream. */
+  private recordTokenTime(item: ScheduledGeneration, tokens: number): void {
     const nowMs = this.ports.clock.nowMs();
-    if (item.heardMs > 0) this.tokenTime.add((nowMs - item.heardMs) / tokens);
-    item.heardMs = nowMs;
+    if (item.lastAtMs > 0) this.tokenTime.add((nowMs - item.lastAtMs) / tokens);
+    item.lastAtMs = nowMs;
   }
 
   report(state: SidecarState): LoadReport {
@@ -145,27 +151,27 @@
       running: this.running.size,
       backlogTokens: this.backlogTokens(),
       memoryShare: held / this.capacity.memoryTokens,
-      predictedWaitMs: this.shortWaitMs(),
+      predictedWaitMs: this.shortRequestWaitMs(),
       tokenMs: this.tokenTime.mean ?? 0,
       maxBatch: this.capacity.maxBatch,
     };
   }
 
-  private toScheduled(generation: Generation): Scheduled {
+  private toScheduled(generation: Generation): ScheduledGeneration {
     const {organisationId, promptTokens, maxTokens} = generation.request;
-    const lengths = this.estimator.modelFor(organisationId, maxTokens);
-    const expectedOutput = lengths.expectedFurther(0, maxTokens);
+    const lengthModel = this.estimator.modelFor(organisationId, maxTokens);
+    const expectedOutputTokens = lengthModel.expectedFurther(0, maxTokens);
     return {
       generation,
-      lengths,
-      expectedOutput,
-      expectedTokens: promptTokens + expectedOutput,
-      heardMs: 0,
-      counted: 0,
+      lengthModel,
+      expectedOutputTokens,
+      expectedTokens: promptTokens + expectedOutputTokens,
+      lastAtMs: 0,
+      countedTokens: 0,
     };
   }
 
-  private refuseEarly(item: Scheduled): Failure | undefined {
+  private refuseOnSubmit(item: ScheduledGeneration): Failure | undefined {
     const {promptTokens, priority, maxQueueMs} = item.generation.request;
     if (promptTokens + 1 > this.capacity.memoryTokens) {
       return notRun(
@@ -183,43 +189,47 @@
     );
   }
 
-  /** Hands over what fits, in order, and lets go of what has waited too long. */
-  private pump(): void {
-    this.expire();
+  /** Expires what has waited too long, then admits in order what fits. */
+  private admitWaiting(): void {
+    this.expireWaiting();
     if (this.waiting.length === 0) return;
     const claims = this.claims();
-    const isHeldBack = this.hasPushedAside();
+    const isPreempting = this.hasPreempted();
     let bypassed = 0;
-    for (const item of this.ordered()) {
-      const decision = this.decide(item, claims, isHeldBack);
+    for (const item of this.sortWaiting()) {
+      const decision = this.decide(item, claims, isPreempting);
       if (decision.outcome === 'admit') {
-        if (this.isPaced(item)) break;
-        this.start(item);
+        if (this.mustDelayPrompt(item)) break;
+        this.admit(item);
         claims.push(toClaim(item));
         continue;
       }
-      if (!this.mayBypass(item)) break;
-      if (++bypassed >= MAX_BYPASSED) break;
+      if (!this.mayBeBypassed(item)) break;
+      if (++bypassed >= MAX_BYPASSED_PER_PASS) break;
     }
     this.scheduleRecheck();
   }
 
   /**
-   * True while the engine holds a generation back that had begun: it needs a
-   * large piece of memory at once, which newcomers would take bit by bit.
+   * True while the engine has preempted a generation that had already produced
+   * tokens. To resume, it needs much memory at once; admitting new generations
+   * would use that memory up piece by piece.
    */
-  private hasPushedAside(): boolean {
-    const paceMs = this.tokenTime.mean ?? 0;
-    const limitMs = Math.max(PUSHED_ASIDE_MIN_MS, PUSHED_ASIDE_PACES * paceMs);
-    const sinceMs = this.ports.clock.nowMs() - limitMs;
-    for (const {heardMs} of this.running.values()) {
-      if (heardMs > 0 && heardMs < sinceMs) return true;
+  private hasPreempted(): boolean {
+    const tokenMs = this.tokenTime.mean ?? 0;
+    const gapMs = Math.max(
+      MIN_PREEMPTION_GAP_MS,
+      PREEMPTION_GAP_TOKEN_TIMES * tokenMs,
+    );
+    const sinceMs = this.ports.clock.nowMs() - gapMs;
+    for (const {lastAtMs} of this.running.values()) {
+      if (lastAtMs > 0 && lastAtMs < sinceMs) return true;
     }
     return false;
   }
 
   private decide(
-    item: Scheduled,
+    item: ScheduledGeneration,
     claims: readonly MemoryClaim[],
     isHeldBack: boolean,
   ): AdmissionDecision {
@@ -229,33 +239,34 @@
     }
     const capacity =
       rule.kind === 'expected'
-        ? usableCapacity(this.capacity, item.expectedOutput)
+        ? usableCapacity(this.capacity, item.expectedOutputTokens)
         : this.capacity;
     const decision = decideAdmission(rule, capacity, claims, toClaim(item));
     const isRefused = decision.outcome === 'wait';
-    return isRefused && this.mayDisplace(item) ? {outcome: 'admit'} : decision;
+    return isRefused && this.mayPreempt(item) ? {outcome: 'admit'} : decision;
   }
 
   /**
-   * True for a short request that has waited long enough to be worth pushing a
-   * long generation aside. The engine does that by itself, for short requests
-   * have the better priority there; short ones together take a bounded share.
+   * True for a short request that has waited long enough to preempt a long
+   * generation. The engine itself preempts, since short requests have the
+   * better priority there. The memory that short requests hold together is
+   * bounded.
    */
-  private mayDisplace(item: Scheduled): boolean {
+  private mayPreempt(item: ScheduledGeneration): boolean {
     if (this.policy.admission !== 'expected') return false;
     if (!isShort(item)) return false;
     if (this.running.size >= this.capacity.maxBatch) return false;
     const waitedMs = this.ports.clock.nowMs() - item.generation.arrivedMs;
-    if (waitedMs < DISPLACE_AFTER_MS) return false;
-    let heldByShort = item.expectedTokens;
+    if (waitedMs < PREEMPT_AFTER_MS) return false;
+    let shortHeldTokens = item.expectedTokens;
     for (const other of this.running.values()) {
       if (!isShort(other)) continue;
-      heldByShort += toClaim(other).heldTokens;
+      shortHeldTokens += toClaim(other).heldTokens;
     }
-    return heldByShort <= DISPLACE_SHARE * this.capacity.memoryTokens;
+    return shortHeldTokens <= PREEMPT_MEMORY_SHARE * this.capacity.memoryTokens;
   }
 
-  private isPaced(item: Scheduled): boolean {
+  private mustDelayPrompt(item: ScheduledGeneration): boolean {
     if (this.policy.admission === 'free' || this.running.size === 0) {
       return false;
     }
@@ -265,7 +276,7 @@
     return !this.pacer.mayAdmit(nowMs, tokenMs, promptTokens);
   }
 
-  private ordered(): Scheduled[] {
+  private sortWaiting(): ScheduledGeneration[] {
     const nowMs = this.ports.clock.nowMs();
     const rule = toQueueRule(this.policy);
     const keyed = this.waiting.map((item) => ({
@@ -276,30 +287,30 @@
     return keyed.map(({item}) => item);
   }
 
-  private toWaiting(item: Scheduled): Parameters<typeof urgency>[1] {
+  private toWaiting(item: ScheduledGeneration): Parameters<typeof urgency>[1] {
     const {organisationId, priority} = item.generation.request;
     return {
       arrivedMs: item.generation.arrivedMs,
       priority,
       expectedTokens: item.expectedTokens,
-      organisationUse: this.use.relativeTo(organisationId),
+      organisationUse: this.organisationUse.relativeUse(organisationId),
     };
   }
 
-  private mayBypass(item: Scheduled): boolean {
+  private mayBeBypassed(item: ScheduledGeneration): boolean {
     if (this.policy.queue === 'firstInFirstOut') return false;
     const waitedMs = this.ports.clock.nowMs() - item.generation.arrivedMs;
-    return waitedMs < BYPASS_AGEING_STEPS * this.policy.ageingMs;
+    return waitedMs < MAX_BYPASS_AGEING_STEPS * this.policy.ageingMs;
   }
 
-  private start(item: Scheduled): void {
+  private admit(item: ScheduledGeneration): void {
     const {generation} = item;
     this.waiting.splice(this.waiting.indexOf(item), 1);
     this.running.set(generation, item);
     const nowMs = this.ports.clock.nowMs();
-    this.pacer.note(generation.request.promptTokens);
-    this.admitted.addInterval(nowMs, item.expectedTokens);
-    this.ports.note(
+    this.pacer.noteAdmitted(generation.request.promptTokens);
+    this.admissionRate.addAmount(nowMs, item.expectedTokens);
+    this.ports.logDecision(
       generation.request.requestId,
       `admitted after ${Math.round(nowMs - generation.arrivedMs)} ms`,
     );
@@ -308,21 +319,21 @@
       .finally(() => this.ended(item));
   }
 
-  private ended(item: Scheduled): void {
+  private ended(item: ScheduledGeneration): void {
     const {generation} = item;
     this.running.delete(generation);
-    const produced = generation.produced;
-    if (!generation.abort.signal.aborted) item.lengths.end(produced);
-    this.pump();
+    const producedTokens = generation.producedTokens;
+    if (!generation.abort.signal.aborted) item.lengthModel.end(producedTokens);
+    this.admitWaiting();
     this.onChange();
   }
 
-  private expire(): void {
+  private expireWaiting(): void {
     const nowMs = this.ports.clock.nowMs();
     for (const item of [...this.waiting]) {
       const {maxQueueMs} = item.generation.request;
       if (nowMs - item.generation.arrivedMs < maxQueueMs) continue;
-      this.withdraw(item.generation);
+      this.dequeue(item.generation);
       const failure = notRun(
         FailureKind.OVERLOADED,
         'the request waited as long as it may',
@@ -333,53 +344,57 @@
   }
 
   private scheduleRecheck(): void {
-    if (this.recheck !== undefined || this.waiting.length === 0) return;
-    this.recheck = this.ports.clock.after(RECHECK_MS, () => {
-      this.recheck = undefined;
-      this.pump();
+    if (this.pendingRecheck !== undefined || this.waiting.length === 0) return;
+    this.pendingRecheck = this.ports.clock.after(RECHECK_INTERVAL_MS, () => {
+      this.pendingRecheck = undefined;
+      this.admitWaiting();
     });
   }
 
   private predictedWaitMs(expectedTokens: number, priority: number): number {
-    const rate = this.admitted.perMs;
+    const rate = this.admissionRate.perMs;
     if (rate === undefined) return 0;
     const rule = toQueueRule(this.policy);
     const nowMs = this.ports.clock.nowMs();
-    const own = urgency(
+    const ownKey = urgency(
       rule,
       {arrivedMs: nowMs, priority, expectedTokens, organisationUse: 1},
       nowMs,
     );
-    let ahead = expectedTokens;
+    let tokensAhead = expectedTokens;
     for (const item of this.waiting) {
-      if (urgency(rule, this.toWaiting(item), nowMs) > own) continue;
-      ahead += item.expectedTokens;
+      if (urgency(rule, this.toWaiting(item), nowMs) > ownKey) continue;
+      tokensAhead += item.expectedTokens;
     }
-    return ahead / rate;
+    return tokensAhead / rate;
   }
 
   /**
-   * Wait of a new short request: none while the engine has room for it. An
-   * engine that has admitted nothing for a while with work waiting will not do
-   * so at once, whatever its past rate says.
+   * Expected wait of a new short request; zero while nothing waits and the
+   * engine's batch is not full. It is at least the wait of the oldest queued
+   * short request: when nothing was admitted for a while, the past rate is too
+   * optimistic.
    */
-  private shortWaitMs(): number {
+  private shortRequestWaitMs(): number {
     const isFull =
       this.running.size >= this.capacity.maxBatch || this.waiting.length > 0;
     if (!isFull) return 0;
-    const byRateMs = this.predictedWaitMs(SHORT_TOKENS, 5);
-    const oldest = Math.min(
+    const rateBasedWaitMs = this.predictedWaitMs(SHORT_REQUEST_TOKENS, 5);
+    const oldestArrivalMs = Math.min(
       ...this.waiting.filter(isShort).map((item) => item.generation.arrivedMs),
     );
-    return Math.max(byRateMs, this.ports.clock.nowMs() - oldest);
+    return Math.max(
+      rateBasedWaitMs,
+      this.ports.clock.nowMs() - oldestArrivalMs,
+    );
   }
 
   private backlogTokens(): number {
     let sum = 0;
     for (const item of this.waiting) sum += item.expectedTokens;
-    for (const {generation, lengths} of this.running.values()) {
+    for (const {generation, lengthModel} of this.running.values()) {
       const {maxTokens} = generation.request;
-      sum += lengths.expectedFurther(generation.produced, maxTokens);
+      sum += lengthModel.expectedFurther(generation.producedTokens, maxTokens);
     }
     return sum;
   }
--- a/packages/sidecar/src/generation.ts
+++ b/packages/sidecar/src/generation.ts
@@ -11,7 +11,7 @@
     }
   | {readonly kind: 'failed'; readonly failure: Failure};
 
-/** The one reader of a generation at a time. */
+/** The link that receives a generation; there is one at a time. */
 export interface Reader {
   readonly link: Link;
   readonly callId: number;
@@ -21,13 +21,13 @@
   credit: number;
 }
 
-/** Most tokens in one message. */
+/** Limit of tokens in one message. */
 const MAX_TOKENS_PER_MESSAGE = 512;
 
 /**
- * The log of one generation: every token in order, and how it ended. The log
- * outlives its reader, so that another link can go on from any offset. It is
- * bounded by the most output that was asked for.
+ * The output log of one generation: every token in order, and how it ended. The
+ * log outlives its reader, so another link can resume from any offset. Its size
+ * is bounded by the requested maximum output.
  */
 export class Generation {
   readonly abort = new AbortController();
@@ -35,7 +35,7 @@
   private end: GenerationEnd | undefined;
   private reader: Reader | undefined;
   private releaseReader: () => void = () => {};
-  private cancelGrace: CancelTimer | undefined;
+  private cancelGraceTimer: CancelTimer | undefined;
 
   constructor(
     readonly id: string,
@@ -45,7 +45,7 @@
     private readonly resumeGraceMs: number,
   ) {}
 
-  get produced(): number {
+  get producedTokens(): number {
     return this.tokens.length;
   }
 
@@ -57,46 +57,47 @@
     return this.reader !== undefined;
   }
 
-  /** Adds tokens; ignored after the end, so late ones reach nobody. */
+  /** Appends tokens; ignored after the end, so late tokens reach no reader. */
   append(texts: readonly string[]): void {
     if (this.end !== undefined) return;
     for (const text of texts) this.tokens.push(text);
-    this.send();
+    this.sendPending();
   }
 
-  /** Ends the generation once; later ends are ignored. */
+  /** Ends the generation; later calls are ignored. */
   finish(end: GenerationEnd): void {
     if (this.end !== undefined) return;
     this.end = end;
-    this.cancelGrace?.();
-    this.send();
+    this.cancelGraceTimer?.();
+    this.sendPending();
   }
 
   /**
-   * Takes the place of an earlier reader, which is told so. `onRelease` is
-   * called once, when this reader has been sent the end or has been replaced.
+   * Sets the reader. A previous one is replaced and receives a `SUPERSEDED`
+   * failure. `onRelease` is called once, when this reader has been sent the
+   * end, has been replaced, or was detached.
    */
   attach(reader: Reader, onRelease: () => void): void {
-    this.cancelGrace?.();
-    const earlier = this.takeReader();
+    this.cancelGraceTimer?.();
+    const previous = this.removeReader();
     this.reader = reader;
     this.releaseReader = onRelease;
-    if (earlier !== undefined) {
+    if (previous !== undefined) {
       const failure = mayHaveRun(
         FailureKind.SUPERSEDED,
         'another reader took this stream over',
       );
-      earlier.link.send({type: 'failed', callId: earlier.callId, failure});
+      previous.link.send({type: 'failed', callId: previous.callId, failure});
     }
-    this.send();
+    this.sendPending();
   }
 
-  /** The reader is gone; the generation goes on for a grace period. */
+  /** Removes the reader; without a new one in the grace period, cancels. */
   detach(link: Link, callId: number): void {
     if (this.reader?.link !== link || this.reader.callId !== callId) return;
-    this.takeReader();
+    this.removeReader();
     if (this.end !== undefined) return;
-    this.cancelGrace = this.clock.after(this.resumeGraceMs, () => {
+    this.cancelGraceTimer = this.clock.after(this.resumeGraceMs, () => {
       this.cancel('no reader came back');
     });
   }
@@ -104,10 +105,10 @@
   addCredit(count: number): void {
     if (this.reader === undefined) return;
     this.reader.credit += count;
-    this.send();
+    this.sendPending();
   }
 
-  /** Ends the generation here and at the engine. */
+  /** Ends the generation in the log and aborts it at the engine. */
   cancel(detail: string): void {
     this.finish({
       kind: 'failed',
@@ -116,17 +117,17 @@
     this.abort.abort();
   }
 
-  private send(): void {
+  private sendPending(): void {
     const reader = this.reader;
     if (reader === undefined) return;
     this.sendTokens(reader);
     if (this.end !== undefined && reader.offset >= this.tokens.length) {
-      this.takeReader();
+      this.removeReader();
       this.sendEnd(reader, this.end);
     }
   }
 
-  private takeReader(): Reader | undefined {
+  private removeReader(): Reader | undefined {
     const reader = this.reader;
     const release = this.releaseReader;
     this.reader = undefined;
--- a/packages/sidecar/src/generationLog.ts
+++ b/packages/sidecar/src/generationLog.ts
@@ -1,8 +1,8 @@
 import type {Clock} from '@lilacledge/shared';
 import type {Generation} from './generation.js';
 
-/** The generations of this incarnation that can still be read. */
-export class GenerationLog {
+/** The generations of this incarnation whose output can still be read. */
+export class GenerationRegistry {
   private readonly generations = new Map<string, Generation>();
 
   constructor(
@@ -22,7 +22,7 @@
     return this.generations.get(generationId);
   }
 
-  /** Forgets an ended generation after the retention time. */
+  /** Removes an ended generation after the retention time. */
   retire(generation: Generation): void {
     this.clock.after(this.retentionMs, () => {
       this.generations.delete(generation.id);
--- a/packages/sidecar/src/generationService.ts
+++ b/packages/sidecar/src/generationService.ts
@@ -7,21 +7,21 @@
 import type {Failure} from '@lilacledge/shared';
 import {EngineScheduler} from './engineScheduler.js';
 import {Generation} from './generation.js';
-import {GenerationLog} from './generationLog.js';
+import {GenerationRegistry} from './generationLog.js';
 import type {EnginePort} from './ports/enginePort.js';
 import {runGeneration} from './runGeneration.js';
 import type {SidecarMetrics} from './sidecarMetrics.js';
 import type {SidecarPorts} from './sidecarPorts.js';
 
 const DRAIN_RETRY_MS = 500;
-const LOST_RETRY_MS = 1_000;
+const LOST_GENERATION_RETRY_MS = 1_000;
 
-/** Generations of one engine: from their submission to their last reader. */
+/** Manages the generations of one engine from submission to retention end. */
 export class GenerationService {
   readonly scheduler: EngineScheduler;
-  private readonly log: GenerationLog;
-  private readonly readers = new Map<Link, Map<number, Generation>>();
-  private readonly hearing = {heardMs: 0};
+  private readonly registry: GenerationRegistry;
+  private readonly generationsByLink = new Map<Link, Map<number, Generation>>();
+  private readonly activity = {lastEventAtMs: 0};
   private sequence = 0;
 
   constructor(
@@ -31,13 +31,16 @@
     private readonly incarnation: string,
     private readonly metrics: SidecarMetrics,
   ) {
-    this.log = new GenerationLog(ports.clock, settings.logRetentionMs);
+    this.registry = new GenerationRegistry(
+      ports.clock,
+      settings.logRetentionMs,
+    );
     const logger = ports.logger.part('scheduler');
     this.scheduler = new EngineScheduler(
       {
         clock: ports.clock,
         run: (generation, priority) => this.run(generation, priority),
-        note: (requestId, what) => logger.debug(what, {requestId}),
+        logDecision: (requestId, what) => logger.debug(what, {requestId}),
       },
       DEFAULT_POLICY,
     );
@@ -47,7 +50,7 @@
     return this.scheduler.openCount;
   }
 
-  useConfig(config: FleetConfig): void {
+  applyConfig(config: FleetConfig): void {
     const service = config.services[this.settings.service];
     if (service?.kind === 'model') this.scheduler.setPolicy(service.policy);
   }
@@ -70,8 +73,8 @@
 
   resume(link: Link, message: Resume): void {
     const {callId, generationId} = message;
-    const generation = this.log.find(generationId);
-    const refusal = refuseResume(generation, message);
+    const generation = this.registry.find(generationId);
+    const refusal = resumeRefusal(generation, message);
     if (refusal !== undefined) {
       link.send({type: 'failed', callId, failure: refusal});
       return;
@@ -81,27 +84,27 @@
   }
 
   addCredit(link: Link, callId: number, count: number): void {
-    this.readBy(link, callId)?.addCredit(count);
+    this.findGeneration(link, callId)?.addCredit(count);
   }
 
   cancel(link: Link, callId: number, abandon: boolean): void {
-    const generation = this.readBy(link, callId);
+    const generation = this.findGeneration(link, callId);
     if (generation === undefined) return;
     generation.detach(link, callId);
     if (abandon) this.drop(generation, 'the caller gave up');
   }
 
-  /** All readers on a link that has ended are gone. */
+  /** Detaches all readers of a link that has ended. */
   detachAll(link: Link): void {
-    for (const [callId, generation] of this.readers.get(link) ?? []) {
+    for (const [callId, generation] of this.generationsByLink.get(link) ?? []) {
       generation.detach(link, callId);
     }
-    this.readers.delete(link);
+    this.generationsByLink.delete(link);
   }
 
-  /** Ends what still runs when a shutdown has reached its time limit. */
-  endAll(detail: string): void {
-    for (const generation of this.log.all()) this.drop(generation, detail);
+  /** Cancels what still runs when a shutdown has reached its time limit. */
+  cancelAll(detail: string): void {
+    for (const generation of this.registry.all()) this.drop(generation, detail);
   }
 
   report(state: SidecarState): LoadReport {
@@ -119,12 +122,12 @@
       this.settings.resumeGraceMs,
     );
     generation.abort.signal.addEventListener('abort', () => {
-      if (this.scheduler.withdraw(generation)) this.log.retire(generation);
+      if (this.scheduler.dequeue(generation)) this.registry.retire(generation);
     });
     link.send({type: 'accepted', callId: message.callId, generationId: id});
     this.attach(generation, link, message);
     const refusal = this.scheduler.submit(generation);
-    if (refusal === undefined) this.log.add(generation);
+    if (refusal === undefined) this.registry.add(generation);
     return refusal;
   }
 
@@ -136,16 +139,16 @@
       clock: this.ports.clock,
       priority,
       engineSilenceMs: this.settings.engineSilenceMs,
-      hearing: this.hearing,
+      activity: this.activity,
     };
     await runGeneration(this.engine, generation, settings, this, span);
     this.metrics.outcomes.inc({outcome: 'ended', verdict: 'ran'});
-    this.log.retire(generation);
+    this.registry.retire(generation);
   }
 
-  progressed(generation: Generation, tokens: number): void {
+  onTokens(generation: Generation, tokens: number): void {
     this.metrics.tokens.inc(tokens);
-    this.scheduler.progress(generation);
+    this.scheduler.noteProgress(generation);
   }
 
   private drop(generation: Generation, detail: string): void {
@@ -153,11 +156,11 @@
     generation.cancel(detail);
   }
 
-  private readBy(link: Link, callId: number): Generation | undefined {
-    return this.readers.get(link)?.get(callId);
+  private findGeneration(link: Link, callId: number): Generation | undefined {
+    return this.generationsByLink.get(link)?.get(callId);
   }
 
-  /** Makes `link` the reader, and forgets it when the stream has ended. */
+  /** Makes `link` the reader until it is released. */
   private attach(
     generation: Generation,
     link: Link,
@@ -165,11 +168,12 @@
   ): void {
     const {callId, credit} = message;
     const offset = message.type === 'resume' ? message.fromOffset : 0;
-    const calls = this.readers.get(link) ?? new Map<number, Generation>();
-    this.readers.set(link, calls);
-    calls.set(callId, generation);
+    const generations =
+      this.generationsByLink.get(link) ?? new Map<number, Generation>();
+    this.generationsByLink.set(link, generations);
+    generations.set(callId, generation);
     generation.attach({link, callId, offset, credit}, () => {
-      calls.delete(callId);
+      generations.delete(callId);
     });
   }
 
@@ -181,7 +185,7 @@
   }
 }
 
-function refuseResume(
+function resumeRefusal(
   generation: Generation | undefined,
   message: Resume,
 ): Failure | undefined {
@@ -189,7 +193,7 @@
     return mayHaveRun(
       FailureKind.RESUME_REFUSED,
       'the generation is no longer kept here',
-      LOST_RETRY_MS,
+      LOST_GENERATION_RETRY_MS,
     );
   }
   if (generation.request.organisationId !== message.organisationId) {
@@ -198,7 +202,7 @@
       'the generation belongs to another organisation',
     );
   }
-  if (message.fromOffset > generation.produced) {
+  if (message.fromOffset > generation.producedTokens) {
     return notRun(
       FailureKind.RESUME_REFUSED,
       'the offset is beyond what was produced',
--- a/packages/sidecar/src/keyedCalls.ts
+++ b/packages/sidecar/src/keyedCalls.ts
@@ -12,7 +12,7 @@
 import {EndpointError} from './ports/endpointError.js';
 import type {PlainPort, PlainResponse} from './ports/plainPort.js';
 
-/** Outcome of a call for its caller. */
+/** Outcome of a call, as sent to its caller. */
 export type CallOutcome =
   | {
       readonly kind: 'answered';
@@ -27,10 +27,10 @@
   readonly outcome: Promise<CallOutcome>;
 }
 
-/** Where the ownership of slots is known. */
-export interface SlotBook {
+/** Tells which key slots this sidecar owns. */
+export interface SlotOwnership {
   grantOf(slot: number): SlotGrant | undefined;
-  /** Notes that a key of the slot was accepted. */
+  /** Records that a key of the slot was accepted. */
   accepted(slot: number, mintedMs: number): void;
 }
 
@@ -40,18 +40,18 @@
 }
 
 /**
- * Runs calls that may not be repeated at most once per key. A key's record is
- * made before its call is passed on, and is never taken back unless the call
- * is known not to have been sent.
+ * Runs calls that must not be repeated at most once per idempotency key. The
+ * record of a key is created before its call is forwarded. It is deleted again
+ * only if the call is known not to have run.
  */
 export class KeyedCalls {
   private readonly records = new Map<string, KeyRecord>();
-  private forgottenBeforeMs = 0;
+  private evictedBeforeMs = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly plain: PlainPort,
-    private readonly slots: SlotBook,
+    private readonly slots: SlotOwnership,
     private readonly settings: KeyedCallsSettings,
   ) {}
 
@@ -63,12 +63,12 @@
     const id = `${call.organisationId}|${call.key.toLowerCase()}`;
     const digest = digestOf(call);
     const known = this.records.get(id);
-    if (known !== undefined) return this.answerKnown(known, digest);
+    if (known !== undefined) return this.answerFromRecord(known, digest);
     const slot = slotOfKey(call.organisationId, call.key);
     const decision = decideUnknownKey({
       key: call.key,
       interval: this.slots.grantOf(slot),
-      forgottenBeforeWallMs: this.forgottenBeforeMs,
+      forgottenBeforeWallMs: this.evictedBeforeMs,
       nowWallMs: this.clock.wallMs(),
       skewMs: this.settings.keySkewMs,
     });
@@ -87,7 +87,7 @@
     const mintedMs = mintTimeMs(call.key)!;
     const outcome = this.run(id, call);
     this.records.set(id, {mintedMs, digest, outcome});
-    this.forgetOldest();
+    this.evictOldest();
     return outcome;
   }
 
@@ -102,7 +102,7 @@
     }
   }
 
-  private async answerKnown(
+  private async answerFromRecord(
     record: KeyRecord,
     digest: string,
   ): Promise<CallOutcome> {
@@ -117,8 +117,11 @@
     return outcome.kind === 'answered' ? {...outcome, isReplay: true} : outcome;
   }
 
-  /** Keeps the records within bounds; what is forgotten is never run again. */
-  private forgetOldest(): void {
+  /**
+   * Evicts the oldest records beyond the limit. Keys minted no later than an
+   * evicted one are refused from then on, so that no call runs twice.
+   */
+  private evictOldest(): void {
     if (this.records.size <= this.settings.maxKeyRecords) return;
     const byAge = [...this.records].sort(
       ([, a], [, b]) => a.mintedMs - b.mintedMs,
@@ -126,16 +129,16 @@
     const excess = Math.ceil(this.settings.maxKeyRecords / 10);
     for (const [id, record] of byAge.slice(0, excess)) {
       this.records.delete(id);
-      this.forgottenBeforeMs = Math.max(
-        this.forgottenBeforeMs,
+      this.evictedBeforeMs = Math.max(
+        this.evictedBeforeMs,
         record.mintedMs + 1,
       );
     }
   }
 }
 
-/** Runs a call that may be repeated. */
-export async function callFreely(
+/** Runs a call that has no idempotency key. */
+export async function callWithoutKey(
   plain: PlainPort,
   call: Call,
 ): Promise<CallOutcome> {
@@ -150,8 +153,8 @@
 function toFailure(error: unknown): Failure {
   const verdict =
     error instanceof EndpointError ? error.verdict : Verdict.MAY_HAVE_RUN;
-  const build = verdict === Verdict.NOT_RUN ? notRun : mayHaveRun;
-  return build(FailureKind.ENDPOINT_FAILED, String(error), 1_000);
+  const createFailure = verdict === Verdict.NOT_RUN ? notRun : mayHaveRun;
+  return createFailure(FailureKind.ENDPOINT_FAILED, String(error), 1_000);
 }
 
 function digestOf(call: Call): string {
--- a/packages/sidecar/src/organisationUse.ts
+++ b/packages/sidecar/src/organisationUse.ts
@@ -1,19 +1,19 @@
 import type {Clock} from '@lilacledge/shared';
 
-/** Output tokens of organisations lose half of their weight in this time. */
+/** Time after which counted output tokens have half their weight. */
 const HALF_LIFE_MS = 30_000;
 
-/** Below this share of the total, an organisation is forgotten. */
-const NEGLIGIBLE_TOKENS = 1;
+/** An organisation with fewer decayed tokens than this is removed. */
+const MIN_TRACKED_TOKENS = 1;
 
-/** Recent output per organisation at one engine, fading with time. */
+/** Exponentially decayed output tokens per organisation at one engine. */
 export class OrganisationUse {
   private readonly tokens = new Map<string, number>();
   private total = 0;
-  private decayedMs: number;
+  private decayedAtMs: number;
 
   constructor(private readonly clock: Clock) {
-    this.decayedMs = clock.nowMs();
+    this.decayedAtMs = clock.nowMs();
   }
 
   add(organisationId: string, tokens: number): void {
@@ -23,8 +23,8 @@
     this.total += tokens;
   }
 
-  /** Recent use over an equal share of it among the active organisations. */
-  relativeTo(organisationId: string): number {
+  /** The organisation's recent output relative to an equal share among all. */
+  relativeUse(organisationId: string): number {
     const used = this.tokens.get(organisationId) ?? 0;
     if (this.total <= 0) return 0;
     return (used * this.tokens.size) / this.total;
@@ -32,16 +32,16 @@
 
   private decay(): void {
     const nowMs = this.clock.nowMs();
-    const elapsedMs = nowMs - this.decayedMs;
+    const elapsedMs = nowMs - this.decayedAtMs;
     if (elapsedMs < HALF_LIFE_MS / 30) return;
-    this.decayedMs = nowMs;
-    const kept = 0.5 ** (elapsedMs / HALF_LIFE_MS);
+    this.decayedAtMs = nowMs;
+    const decayFactor = 0.5 ** (elapsedMs / HALF_LIFE_MS);
     this.total = 0;
     for (const [id, tokens] of this.tokens) {
-      const left = tokens * kept;
-      if (left < NEGLIGIBLE_TOKENS) this.tokens.delete(id);
-      else this.tokens.set(id, left);
-      this.total += left;
+      const decayedTokens = tokens * decayFactor;
+      if (decayedTokens < MIN_TRACKED_TOKENS) this.tokens.delete(id);
+      else this.tokens.set(id, decayedTokens);
+      this.total += decayedTokens;
     }
   }
 }
--- a/packages/sidecar/src/policyRules.ts
+++ b/packages/sidecar/src/policyRules.ts
@@ -2,16 +2,17 @@
 import type {AdmissionRule, QueueRule} from '@lilacledge/policy';
 import {assertNever} from '@lilacledge/shared';
 
-const FIXED_RESERVE_SHARE = 0.2;
+/** Share of the engine's memory that `fixedReserve` keeps free. */
+const FIXED_RESERVE_MEMORY_SHARE = 0.2;
 
-/** The rule of admission that a service's settings ask for. */
+/** Converts the settings of a service to its admission rule. */
 export function toAdmissionRule(policy: PolicySettings): AdmissionRule {
   const {admission, overflowChance} = policy;
   switch (admission) {
     case 'expected':
       return {kind: admission, overflowChance};
     case 'fixedReserve':
-      return {kind: admission, reserveShare: FIXED_RESERVE_SHARE};
+      return {kind: admission, reserveShare: FIXED_RESERVE_MEMORY_SHARE};
     case 'reserveMaximum':
     case 'free':
       return {kind: admission};
@@ -20,7 +21,7 @@
   }
 }
 
-/** The order of the queue that a service's settings ask for. */
+/** Converts the settings of a service to its queue order. */
 export function toQueueRule(policy: PolicySettings): QueueRule {
   const {queue, ageingMs} = policy;
   return queue === 'leastAttained' ? {kind: queue, ageingMs} : {kind: queue};
--- a/packages/sidecar/src/ports/endpointError.ts
+++ b/packages/sidecar/src/ports/endpointError.ts
@@ -1,6 +1,6 @@
 import type {Verdict} from '@lilacledge/shared';
 
-/** An endpoint that refused, could not be reached or broke off. */
+/** The endpoint refused, could not be reached, or closed the exchange early. */
 export class EndpointError extends Error {
   constructor(
     readonly verdict: Verdict,
--- a/packages/sidecar/src/ports/enginePort.ts
+++ b/packages/sidecar/src/ports/enginePort.ts
@@ -1,11 +1,11 @@
-/** One generation, as asked of an engine. */
+/** A request to an engine for one generation. */
 export interface EngineRequest {
   readonly generationId: string;
   readonly model: string;
   readonly prompt: string;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** The lowest goes first: the engine pushes aside the highest first. */
+  /** Lower values run first; the engine preempts the highest value first. */
   readonly priority: number;
   readonly traceparent: string;
 }
@@ -18,7 +18,7 @@
       readonly promptTokens: number;
     };
 
-/** An engine's account of itself; it lags. */
+/** The load that an engine reports about itself; it may be out of date. */
 export interface EngineLoad {
   readonly memoryTokens: number;
   readonly usedTokens: number;
@@ -31,8 +31,9 @@
 /** A model engine; the sidecar is its only caller. */
 export interface EnginePort {
   /**
-   * Streams a generation until its `done` event. Aborting cancels it at the
-   * engine. Throws `EndpointError` when the engine refuses or breaks off.
+   * Streams a generation until its `done` event. Aborting the signal cancels it
+   * at the engine. Throws `EndpointError` if the engine refuses the request or
+   * ends the stream early.
    */
   generate(
     request: EngineRequest,
--- a/packages/sidecar/src/ports/plainPort.ts
+++ b/packages/sidecar/src/ports/plainPort.ts
@@ -13,7 +13,7 @@
   readonly body: Uint8Array;
 }
 
-/** A plain service; throws `EndpointError`. */
+/** A plain service. Failed calls throw an `EndpointError`. */
 export interface PlainPort {
   call(request: PlainRequest): Promise<PlainResponse>;
 }
--- a/packages/sidecar/src/promptPacer.ts
+++ b/packages/sidecar/src/promptPacer.ts
@@ -1,26 +1,26 @@
-/** Prompt tokens admitted within the time of one output token. */
-const PACED_PROMPT_TOKENS = 256;
+/** Prompt tokens that may be admitted within one engine step. */
+const MAX_PROMPT_TOKENS = 256;
 
 /**
- * Bounds the prompts that are admitted within the time of one output token: each
- * prompt read in a step lengthens that step for all that run.
+ * Bounds the prompt tokens that are admitted within one engine step (the time
+ * of one output token): prefill lengthens it for all running generations.
  */
 export class PromptPacer {
-  private sinceMs = 0;
+  private stepStartedAtMs = 0;
   private promptTokens = 0;
 
-  /** True if a prompt of this length may be read now, beside others. */
+  /** True if a prompt of this length may be admitted now. */
   mayAdmit(nowMs: number, tokenMs: number, promptTokens: number): boolean {
-    if (nowMs - this.sinceMs >= tokenMs) {
-      this.sinceMs = nowMs;
+    if (nowMs - this.stepStartedAtMs >= tokenMs) {
+      this.stepStartedAtMs = nowMs;
       this.promptTokens = 0;
     }
     const isFirst = this.promptTokens === 0;
-    return isFirst || this.promptTokens + promptTokens <= PACED_PROMPT_TOKENS;
+    return isFirst || this.promptTokens + promptTokens <= MAX_PROMPT_TOKENS;
   }
 
-  /** Counts a prompt that was admitted. */
-  note(promptTokens: number): void {
+  /** Counts an admitted prompt towards the current step. */
+  noteAdmitted(promptTokens: number): void {
     this.promptTokens += promptTokens;
   }
 }
--- a/packages/sidecar/src/rateEstimate.ts
+++ b/packages/sidecar/src/rateEstimate.ts
@@ -1,36 +1,39 @@
-/** Running means over about the last `memory` samples. */
+/** Exponential moving averages over about the last `memory` samples. */
 export class RateEstimate {
   private value: number | undefined;
-  private intervalMs: number | undefined;
-  private amount: number | undefined;
-  private lastMs: number | undefined;
+  private meanIntervalMs: number | undefined;
+  private meanAmount: number | undefined;
+  private lastAmountAtMs: number | undefined;
 
   constructor(private readonly memory: number) {}
 
-  /** Mean of the samples given to `add`. */
+  /** Moving average of the samples given to `add`. */
   get mean(): number | undefined {
     return this.value;
   }
 
-  /** Amount per millisecond, of the samples given to `addInterval`. */
+  /** Amount per millisecond over the calls of `addAmount`. */
   get perMs(): number | undefined {
-    if (this.intervalMs === undefined || this.amount === undefined) {
+    if (this.meanIntervalMs === undefined || this.meanAmount === undefined) {
       return undefined;
     }
-    return this.amount / Math.max(0.01, this.intervalMs);
+    return this.meanAmount / Math.max(0.01, this.meanIntervalMs);
   }
 
   add(sample: number): void {
     this.value = this.blend(this.value, sample);
   }
 
-  /** Counts `amount` that passed at `nowMs`. */
-  addInterval(nowMs: number, amount: number): void {
-    if (this.lastMs !== undefined) {
-      this.intervalMs = this.blend(this.intervalMs, nowMs - this.lastMs);
-      this.amount = this.blend(this.amount, amount);
+  /** Records an amount that was processed at `nowMs`. */
+  addAmount(nowMs: number, amount: number): void {
+    if (this.lastAmountAtMs !== undefined) {
+      this.meanIntervalMs = this.blend(
+        this.meanIntervalMs,
+        nowMs - this.lastAmountAtMs,
+      );
+      this.meanAmount = this.blend(this.meanAmount, amount);
     }
-    this.lastMs = nowMs;
+    this.lastAmountAtMs = nowMs;
   }
 
   private blend(old: number | undefined, sample: number): number {
--- a/packages/sidecar/src/runGeneration.ts
+++ b/packages/sidecar/src/runGeneration.ts
@@ -5,30 +5,30 @@
 import {EndpointError} from './ports/endpointError.js';
 import type {EnginePort} from './ports/enginePort.js';
 
-/** When a caller may come back after its engine has failed. */
-const ENGINE_RETRY_MS = 1_000;
+/** Retry delay that callers get after their engine has failed. */
+const ENGINE_FAILURE_RETRY_MS = 1_000;
 
-/** When an engine was last heard, by any of its generations. */
-export interface EngineHearing {
-  heardMs: number;
+/** Time of the latest event of any generation of an engine. */
+export interface EngineActivity {
+  lastEventAtMs: number;
 }
 
-/** What a run needs besides its engine. */
+/** Settings of one generation run. */
 export interface RunSettings {
   readonly clock: Clock;
-  /** At the engine; the lowest goes first. */
+  /** Priority at the engine; lower values run first. */
   readonly priority: number;
-  /** An engine that is silent for this long is given up. */
+  /** The run fails when the engine has sent no event for this long. */
   readonly engineSilenceMs: number;
-  readonly hearing: EngineHearing;
+  readonly activity: EngineActivity;
 }
 
-/** What a run tells the sidecar while it goes on. */
+/** Receives the progress of a run. */
 export interface RunObserver {
-  progressed(generation: Generation, tokens: number): void;
+  onTokens(generation: Generation, tokens: number): void;
 }
 
-/** Runs one admitted generation at the engine until it has ended. */
+/** Runs one admitted generation at the engine until it ends. */
 export async function runGeneration(
   engine: EnginePort,
   generation: Generation,
@@ -38,8 +38,8 @@
 ): Promise<void> {
   const {model, prompt, promptTokens, maxTokens} = generation.request;
   const {priority} = settings;
-  const silence = watchSilence(settings, () => {
-    fail(generation, new Error('the engine was silent for too long'));
+  const idleWatch = startIdleWatch(settings, () => {
+    failGeneration(generation, new Error('the engine was silent for too long'));
     generation.abort.abort();
   });
   try {
@@ -56,10 +56,10 @@
       generation.abort.signal,
     );
     for await (const event of events) {
-      silence.heard();
+      idleWatch.noteEvent();
       if (event.type === 'tokens') {
         generation.append(event.texts);
-        observer.progressed(generation, event.texts.length);
+        observer.onTokens(generation, event.texts.length);
         continue;
       }
       const {finishReason} = event;
@@ -73,54 +73,54 @@
     }
     throw new EndpointError(Verdict.MAY_HAVE_RUN, 'the engine broke off');
   } catch (error) {
-    fail(generation, error);
+    failGeneration(generation, error);
     span.end('failed', String(error));
   } finally {
-    silence.stop();
+    idleWatch.stop();
   }
 }
 
-interface SilenceWatch {
-  heard(): void;
+interface IdleWatch {
+  noteEvent(): void;
   stop(): void;
 }
 
 /**
- * Calls `onSilent` once the engine has sent nothing to anyone for the limit. A
- * generation that waits inside an engine that still sends to others is not a
- * sign of a frozen engine.
+ * Calls `onTimeout` once the engine has sent no event to any generation for
+ * `engineSilenceMs`. Events of other generations count, since a generation that
+ * waits inside a working engine is no sign of a frozen engine.
  */
-function watchSilence(
+function startIdleWatch(
   settings: RunSettings,
-  onSilent: () => void,
-): SilenceWatch {
-  const {clock, engineSilenceMs, hearing} = settings;
+  onTimeout: () => void,
+): IdleWatch {
+  const {clock, engineSilenceMs, activity} = settings;
   const startedMs = clock.nowMs();
   let cancel = clock.after(engineSilenceMs, check);
   function check(): void {
-    const sinceMs = Math.max(startedMs, hearing.heardMs);
-    const leftMs = sinceMs + engineSilenceMs - clock.nowMs();
-    if (leftMs <= 0) onSilent();
-    else cancel = clock.after(leftMs, check);
+    const sinceMs = Math.max(startedMs, activity.lastEventAtMs);
+    const remainingMs = sinceMs + engineSilenceMs - clock.nowMs();
+    if (remainingMs <= 0) onTimeout();
+    else cancel = clock.after(remainingMs, check);
   }
   return {
-    heard: () => {
-      hearing.heardMs = clock.nowMs();
+    noteEvent: () => {
+      activity.lastEventAtMs = clock.nowMs();
     },
     stop: () => cancel(),
   };
 }
 
-function fail(generation: Generation, error: unknown): void {
-  const isUnsent =
+function failGeneration(generation: Generation, error: unknown): void {
+  const isNotRun =
     error instanceof EndpointError &&
     error.verdict === Verdict.NOT_RUN &&
-    generation.produced === 0;
-  const build = isUnsent ? notRun : mayHaveRun;
-  const failure = build(
+    generation.producedTokens === 0;
+  const createFailure = isNotRun ? notRun : mayHaveRun;
+  const failure = createFailure(
     FailureKind.ENDPOINT_FAILED,
     error instanceof Error ? error.message : String(error),
-    ENGINE_RETRY_MS,
+    ENGINE_FAILURE_RETRY_MS,
   );
   generation.finish({kind: 'failed', failure});
 }
--- a/packages/sidecar/src/scheduled.ts
+++ b/packages/sidecar/src/scheduled.ts
@@ -2,51 +2,51 @@
 import type {LengthModel, MemoryClaim} from '@lilacledge/policy';
 import type {Generation} from './generation.js';
 
-/** Expected output up to which a request passes while others are held back. */
+/** Expected output up to which a request counts as short. */
 const SHORT_OUTPUT_TOKENS = 96;
 
-/** Levels of length within one priority of an organisation. */
+/** Engine priority levels, by expected length, within one request priority. */
 const LENGTH_LEVELS = 4;
 
-/** A generation with what its scheduling needs. */
-export interface Scheduled {
+/** A generation with its scheduling state. */
+export interface ScheduledGeneration {
   readonly generation: Generation;
-  readonly lengths: LengthModel;
-  readonly expectedOutput: number;
+  readonly lengthModel: LengthModel;
+  readonly expectedOutputTokens: number;
   readonly expectedTokens: number;
-  /** When the engine was last heard for it; 0 before its first token. */
-  heardMs: number;
-  /** Output counted so far in the length model and the claim. */
-  counted: number;
+  /** Time of the latest token; 0 before the first one. */
+  lastAtMs: number;
+  /** Output tokens that the estimates include so far. */
+  countedTokens: number;
 }
 
-/** True for a request that is expected to give its room back soon. */
-export function isShort(item: Scheduled): boolean {
-  return item.expectedOutput <= SHORT_OUTPUT_TOKENS;
+/** True for a request that is expected to release its memory soon. */
+export function isShort(item: ScheduledGeneration): boolean {
+  return item.expectedOutputTokens <= SHORT_OUTPUT_TOKENS;
 }
 
 /**
- * Priority at the engine: the organisation's, and within it shorter work
- * first, so that an engine out of memory pushes the longest aside.
+ * Priority at the engine: the request's priority, and within it the shorter
+ * generation first, so that an engine without free memory preempts the longest.
  */
 export function enginePriority(
   policy: PolicySettings,
-  item: Scheduled,
+  item: ScheduledGeneration,
 ): number {
-  const first = item.generation.request.priority * LENGTH_LEVELS;
-  if (policy.queue === 'firstInFirstOut') return first;
-  const octaves = Math.log2(item.expectedOutput / SHORT_OUTPUT_TOKENS);
+  const basePriority = item.generation.request.priority * LENGTH_LEVELS;
+  if (policy.queue === 'firstInFirstOut') return basePriority;
+  const octaves = Math.log2(item.expectedOutputTokens / SHORT_OUTPUT_TOKENS);
   const level = Math.ceil(octaves);
-  return first + Math.max(0, Math.min(LENGTH_LEVELS - 1, level));
+  return basePriority + Math.max(0, Math.min(LENGTH_LEVELS - 1, level));
 }
 
-/** What a scheduled generation holds of the engine's memory, and may hold. */
-export function toClaim(item: Scheduled): MemoryClaim {
+/** The engine memory that a generation holds now and may hold later. */
+export function toClaim(item: ScheduledGeneration): MemoryClaim {
   const {promptTokens, maxTokens} = item.generation.request;
   return {
-    heldTokens: promptTokens + item.generation.produced,
-    produced: item.generation.produced,
+    heldTokens: promptTokens + item.generation.producedTokens,
+    produced: item.generation.producedTokens,
     maxTokens,
-    lengths: item.lengths,
+    lengths: item.lengthModel,
   };
 }
--- a/packages/sidecar/src/sidecarMetrics.ts
+++ b/packages/sidecar/src/sidecarMetrics.ts
@@ -1,6 +1,6 @@
 import type {MetricsRegistry} from '@lilacledge/telemetry';
 
-/** The metrics of a sidecar; docs/operators.md explains each. */
+/** The metrics of a sidecar, explained in docs/operators.md. */
 export function createSidecarMetrics(registry: MetricsRegistry) {
   return {
     requests: registry.counter(
@@ -26,7 +26,7 @@
       'Generations that wait for admission.',
     ),
     links: registry.gauge('lilacledge_sidecar_links', 'Open links to entries.'),
-    brokenLinks: registry.counter(
+    failedLinks: registry.counter(
       'lilacledge_sidecar_links_refused_total',
       'Links ended for a fault of the peer, by reason.',
       ['reason'],
--- a/packages/sidecar/src/sidecarPorts.ts
+++ b/packages/sidecar/src/sidecarPorts.ts
@@ -4,12 +4,12 @@
 import type {EnginePort} from './ports/enginePort.js';
 import type {PlainPort} from './ports/plainPort.js';
 
-/** What stands behind a sidecar. */
+/** The endpoint that a sidecar serves. */
 export type EndpointPort =
   | {readonly kind: 'engine'; readonly engine: EnginePort}
   | {readonly kind: 'plain'; readonly plain: PlainPort};
 
-/** Everything that a sidecar reaches outside itself. */
+/** External dependencies of a sidecar. */
 export interface SidecarPorts {
   readonly clock: Clock;
   readonly random: Random;
--- a/packages/sidecar/src/sidecarServer.ts
+++ b/packages/sidecar/src/sidecarServer.ts
@@ -5,7 +5,7 @@
 import type {Sidecar} from './createSidecar.js';
 import type {SidecarPorts} from './sidecarPorts.js';
 
-/** The HTTP server of one sidecar: links of entries, health and metrics. */
+/** Creates the HTTP server of a sidecar: entry links, probes and metrics. */
 export function createSidecarServer(
   sidecar: Sidecar,
   ports: SidecarPorts,
--- a/packages/sidecar/src/slotOwner.ts
+++ b/packages/sidecar/src/slotOwner.ts
@@ -3,9 +3,9 @@
 import type {KeyValueStore, StoredValue, StoreWrite} from '@lilacledge/store';
 import type {Clock} from '@lilacledge/shared';
 import type {Logger} from '@lilacledge/telemetry';
-import type {SlotBook} from './keyedCalls.js';
+import type {SlotOwnership} from './keyedCalls.js';
 
-/** What the store keeps of one slot. */
+/** The stored record of one key slot. */
 interface SlotRecord {
   readonly holder: string;
   readonly instanceId: string;
@@ -14,10 +14,10 @@
   readonly untilWallMs: number;
 }
 
-/** In how many rounds on end a slot was seen without a valid grant. */
-interface LapsedSight {
+/** For how many consecutive rounds a slot was seen without a valid grant. */
+interface ExpiryObservation {
   readonly rounds: number;
-  readonly lastMs: number;
+  readonly lastSeenMs: number;
 }
 
 interface OwnedSlot {
@@ -29,32 +29,35 @@
   readonly service: string;
   readonly incarnation: string;
   readonly instanceId: string;
-  /** Host and port that this process listens on. */
+  /** `host:port` that this process listens on. */
   readonly address: string;
   readonly grantMs: number;
   readonly keySkewMs: number;
   /** Time between two rounds. */
-  readonly roundMs: number;
+  readonly roundIntervalMs: number;
 }
 
-/** Rounds on end that a claimer leaves a live holder to write its grant. */
-const SETTLE_ROUNDS = 3;
+/**
+ * A slot is claimed once it was seen expired in this many consecutive rounds
+ * after the first one, so that a live holder can write its grant again.
+ */
+const EXPIRY_CONFIRMATION_ROUNDS = 3;
 
-const HOME_LEASE_MS = 15_000;
-const MAX_RENEW_MS = 60_000;
+const REGISTRATION_LEASE_MS = 15_000;
+const MAX_RENEW_INTERVAL_MS = 60_000;
 
 /**
- * Owns slots of keys through the platform's store. A record grants the keys of
- * one slot minted in [from, until) to one incarnation. Intervals of a slot
- * follow each other and never overlap, so that a holder may go on with its own
- * interval without the store, and after any pause.
+ * Owns key slots through the platform's store. A record grants one incarnation
+ * the keys of a slot that were minted in [from, until). The intervals of a slot
+ * follow each other and never overlap, so a holder may keep using its own
+ * interval while the store is unreachable, and after any pause.
  */
-export class SlotOwner implements SlotBook {
+export class SlotOwner implements SlotOwnership {
   private readonly owned = new Map<number, OwnedSlot>();
-  private readonly lapsed = new Map<number, LapsedSight>();
-  private readonly newestAccepted = new Map<number, number>();
+  private readonly expiredSlots = new Map<number, ExpiryObservation>();
+  private readonly newestAcceptedMs = new Map<number, number>();
   private leaseId: string | undefined;
-  private isClosed = false;
+  private isReleased = false;
   /** Called when the set of grants has changed. */
   onChange: () => void = () => {};
 
@@ -66,69 +69,72 @@
   ) {}
 
   grantOf(slot: number): SlotGrant | undefined {
-    if (this.isClosed) return undefined;
+    if (this.isReleased) return undefined;
     const owned = this.owned.get(slot);
     return owned === undefined ? undefined : toGrant(slot, owned.record);
   }
 
   grants(): SlotGrant[] {
-    if (this.isClosed) return [];
+    if (this.isReleased) return [];
     return [...this.owned].map(([slot, owned]) => toGrant(slot, owned.record));
   }
 
   accepted(slot: number, mintedMs: number): void {
-    const newest = this.newestAccepted.get(slot) ?? 0;
-    this.newestAccepted.set(slot, Math.max(newest, mintedMs));
+    const newest = this.newestAcceptedMs.get(slot) ?? 0;
+    this.newestAcceptedMs.set(slot, Math.max(newest, mintedMs));
   }
 
-  /** One round: shows this home, renews, claims what is free, gives up excess. */
-  async round(): Promise<void> {
-    if (this.isClosed) return;
-    await this.showHome();
-    const fairShare = Math.ceil(KEY_SLOTS / (await this.countHomes()));
+  /**
+   * Registers this instance, renews owned slots, claims free ones, and releases
+   * those beyond the fair share.
+   */
+  async runRound(): Promise<void> {
+    if (this.isReleased) return;
+    await this.registerInstance();
+    const fairShare = Math.ceil(KEY_SLOTS / (await this.countInstances()));
     const records = await this.readRecords();
     for (let slot = 0; slot < KEY_SLOTS; slot++) {
-      await this.roundOfSlot(slot, records.get(slot), fairShare);
+      await this.updateSlot(slot, records.get(slot), fairShare);
     }
   }
 
-  /** Gives all slots up; keys accepted so far stay this incarnation's. */
-  async release(): Promise<void> {
-    this.isClosed = true;
+  /** Releases all slots; accepted keys still belong to this incarnation. */
+  async releaseAll(): Promise<void> {
+    this.isReleased = true;
     this.onChange();
-    for (const slot of [...this.owned.keys()]) await this.giveUp(slot);
+    for (const slot of [...this.owned.keys()]) await this.releaseSlot(slot);
     if (this.leaseId !== undefined) await this.store.revokeLease(this.leaseId);
   }
 
-  private async roundOfSlot(
+  private async updateSlot(
     slot: number,
     stored: StoredValue | undefined,
     fairShare: number,
   ): Promise<void> {
     if (this.owned.has(slot)) {
-      if (this.owned.size > fairShare) await this.giveUp(slot);
+      if (this.owned.size > fairShare) await this.releaseSlot(slot);
       else await this.renew(slot, stored);
       return;
     }
-    const fromWallMs = this.claimableFrom(slot, stored);
+    const fromWallMs = this.claimStartMs(slot, stored);
     if (fromWallMs === undefined || this.owned.size >= fairShare) return;
     await this.write(slot, stored?.modRevision ?? 0, fromWallMs);
   }
 
-  /** Start of the interval that may be claimed now; undefined for none. */
-  private claimableFrom(
+  /** Start of the interval that may be claimed now; undefined if none may. */
+  private claimStartMs(
     slot: number,
     stored: StoredValue | undefined,
   ): number | undefined {
     const nowMs = this.clock.wallMs();
-    const record = stored === undefined ? undefined : toRecord(stored);
+    const record = stored === undefined ? undefined : parseRecord(stored);
     if (record !== undefined && this.isOwnPredecessor(record)) {
-      // This process listens on its predecessor's port, so that one is dead,
-      // and it had accepted nothing minted later than the skew after now.
+      // This process listens on its predecessor's port, so the predecessor is
+      // dead. It accepted no key minted later than now plus the allowed skew.
       return nowMs + this.settings.keySkewMs + 1;
     }
-    const isLapsed = record === undefined || record.untilWallMs <= nowMs;
-    if (!this.hasSettled(slot, isLapsed)) return undefined;
+    const isExpired = record === undefined || record.untilWallMs <= nowMs;
+    if (!this.isExpiryConfirmed(slot, isExpired)) return undefined;
     return record?.untilWallMs ?? nowMs + this.settings.keySkewMs + 1;
   }
 
@@ -140,21 +146,23 @@
   }
 
   /**
-   * After the store came back older, a live holder finds its record gone or
-   * behind and writes it again; a claimer gives it the time to do so.
+   * After the store was restored to an older state, a live holder finds its
+   * record missing or outdated and writes it again. The rounds leave it time to
+   * do so before another instance claims the slot.
    */
-  private hasSettled(slot: number, isLapsed: boolean): boolean {
+  private isExpiryConfirmed(slot: number, isExpired: boolean): boolean {
     const nowMs = this.clock.nowMs();
-    const seen = this.lapsed.get(slot);
-    if (!isLapsed) {
-      this.lapsed.delete(slot);
+    const seen = this.expiredSlots.get(slot);
+    if (!isExpired) {
+      this.expiredSlots.delete(slot);
       return false;
     }
-    const isFollowing =
-      seen !== undefined && nowMs - seen.lastMs <= 2 * this.settings.roundMs;
-    const rounds = isFollowing ? seen.rounds + 1 : 0;
-    this.lapsed.set(slot, {rounds, lastMs: nowMs});
-    return rounds >= SETTLE_ROUNDS;
+    const isConsecutive =
+      seen !== undefined &&
+      nowMs - seen.lastSeenMs <= 2 * this.settings.roundIntervalMs;
+    const rounds = isConsecutive ? seen.rounds + 1 : 0;
+    this.expiredSlots.set(slot, {rounds, lastSeenMs: nowMs});
+    return rounds >= EXPIRY_CONFIRMATION_ROUNDS;
   }
 
   private async renew(
@@ -164,22 +172,22 @@
     const owned = this.owned.get(slot)!;
     if (
       stored !== undefined &&
-      toRecord(stored).holder !== owned.record.holder
+      parseRecord(stored).holder !== owned.record.holder
     ) {
-      // Only after our own interval has ended could another claim be granted.
-      this.logger.warn('Slot is owned by another instance.', {slot});
+      // Another claim is possible only after our own interval has ended.
+      this.logger.warn('Key slot is owned by another instance.', {slot});
       this.drop(slot);
       return;
     }
-    const leftMs = owned.record.untilWallMs - this.clock.wallMs();
-    const dueMs = this.settings.grantMs - this.renewEveryMs();
-    const isBehind = stored?.modRevision !== owned.modRevision;
-    if (leftMs > dueMs && !isBehind) return;
+    const remainingMs = owned.record.untilWallMs - this.clock.wallMs();
+    const renewBelowMs = this.settings.grantMs - this.renewIntervalMs();
+    const hasStoredChanged = stored?.modRevision !== owned.modRevision;
+    if (remainingMs > renewBelowMs && !hasStoredChanged) return;
     await this.write(slot, stored?.modRevision ?? 0, owned.record.fromWallMs);
   }
 
-  private renewEveryMs(): number {
-    return Math.min(MAX_RENEW_MS, this.settings.grantMs / 4);
+  private renewIntervalMs(): number {
+    return Math.min(MAX_RENEW_INTERVAL_MS, this.settings.grantMs / 4);
   }
 
   private async write(
@@ -198,24 +206,24 @@
         this.owned.get(slot)?.record.untilWallMs ?? 0,
       ),
     };
-    const written = await this.swap(slot, modRevision, record);
+    const written = await this.swapRecord(slot, modRevision, record);
     if (written === undefined) return;
     this.owned.set(slot, {record, modRevision: written});
-    this.lapsed.delete(slot);
+    this.expiredSlots.delete(slot);
     this.onChange();
   }
 
-  private async giveUp(slot: number): Promise<void> {
+  private async releaseSlot(slot: number): Promise<void> {
     const owned = this.owned.get(slot)!;
     this.drop(slot);
-    const newest = this.newestAccepted.get(slot) ?? 0;
+    const newest = this.newestAcceptedMs.get(slot) ?? 0;
     const untilWallMs = Math.max(
       owned.record.fromWallMs,
       newest + 1,
       this.clock.wallMs(),
     );
     const record = {...owned.record, holder: '', address: '', untilWallMs};
-    await this.swap(slot, owned.modRevision, record);
+    await this.swapRecord(slot, owned.modRevision, record);
   }
 
   private drop(slot: number): void {
@@ -223,7 +231,7 @@
     this.onChange();
   }
 
-  private async swap(
+  private async swapRecord(
     slot: number,
     modRevision: number,
     record: SlotRecord,
@@ -247,28 +255,28 @@
     );
   }
 
-  private async showHome(): Promise<void> {
+  private async registerInstance(): Promise<void> {
     const isAlive =
       this.leaseId !== undefined &&
       (await this.store.keepLeaseAlive(this.leaseId)) > 0;
     if (isAlive) return;
-    const leaseId = await this.store.grantLease(HOME_LEASE_MS);
-    // Under the instance's name, so that a restart does not count as a home more.
-    const key = this.homesPrefix() + this.settings.instanceId;
+    const leaseId = await this.store.grantLease(REGISTRATION_LEASE_MS);
+    // Keyed by instance id, so that a restart is not counted as a second one.
+    const key = this.instancePrefix() + this.settings.instanceId;
     await this.store.put({key, value: this.settings.incarnation, leaseId});
     this.leaseId = leaseId;
   }
 
-  private async countHomes(): Promise<number> {
-    const homes = await this.store.list(this.homesPrefix());
-    return Math.max(1, homes.length);
+  private async countInstances(): Promise<number> {
+    const instances = await this.store.list(this.instancePrefix());
+    return Math.max(1, instances.length);
   }
 
   private prefix(): string {
     return `lilacledge/slots/${this.settings.service}/`;
   }
 
-  private homesPrefix(): string {
+  private instancePrefix(): string {
     return `lilacledge/homes/${this.settings.service}/`;
   }
 }
@@ -278,6 +286,6 @@
   return {slot, fromWallMs, untilWallMs};
 }
 
-function toRecord(stored: StoredValue): SlotRecord {
+function parseRecord(stored: StoredValue): SlotRecord {
   return JSON.parse(stored.value) as SlotRecord;
 }
