--- a/packages/lilacledge/src/bin/lilacledge.ts
+++ b/packages/lilacledge/src/bin/lilacledge.ts
@@ -5,10 +5,10 @@
 import {addFleetCommands} from '../commands/fleetCommands.js';
 
 const program = new Command('lilacledge')
-  .description('Operates a lilacledge deployment through any of its entries.')
+  .description('Manages a lilacledge deployment through one of its entries.')
   .version('0.1.0')
-  .option('--entry <url>', 'address of an entry', 'http://127.0.0.1:8080')
-  .option('--key-file <file>', 'file with the operators’ key')
+  .option('--entry <url>', 'URL of an entry', 'http://127.0.0.1:8080')
+  .option('--key-file <file>', 'file that holds the operator key')
   .option('--json', 'print JSON');
 
 addConfigCommands(program);
--- a/packages/lilacledge/src/bin/lilacledged.ts
+++ b/packages/lilacledge/src/bin/lilacledged.ts
@@ -5,21 +5,21 @@
 import {runSidecar} from '../runSidecar.js';
 
 const program = new Command('lilacledged')
-  .description('Runs one process of lilacledge.')
+  .description('Runs a lilacledge process: an entry or a sidecar.')
   .version('0.1.0');
 
 program
   .command('entry')
-  .description('ends callers’ connections and answers operators')
-  .requiredOption('--config <file>', 'settings, JSON with comments')
+  .description('accepts callers’ connections and serves the operator API')
+  .requiredOption('--config <file>', 'settings file (JSON with comments)')
   .action(async (options: {config: string}) => {
     await runEntry(loadSettings(options.config, 'entry'));
   });
 
 program
   .command('sidecar')
-  .description('stands before one engine or plain service')
-  .requiredOption('--config <file>', 'settings, JSON with comments')
+  .description('serves one engine or plain service to the entries')
+  .requiredOption('--config <file>', 'settings file (JSON with comments)')
   .action(async (options: {config: string}) => {
     await runSidecar(loadSettings(options.config, 'sidecar'));
   });
--- a/packages/lilacledge/src/commands/configCommands.ts
+++ b/packages/lilacledge/src/commands/configCommands.ts
@@ -29,21 +29,28 @@
     .description('reads and changes the configuration');
   config
     .command('check <file>')
-    .description('checks a configuration or a settings file offline')
+    .description('validates a configuration or settings file offline')
     .action((file: string) => check(program, file));
   config
     .command('apply <file>')
     .description('applies a configuration')
-    .option('--base <revision>', 'revision that the file was made from')
-    .option('--write-id <id>', 'id of an earlier try with an unknown outcome')
-    .option('--author <name>', 'who is named in the history')
+    .option('--base <revision>', 'revision that the file is based on')
+    .option(
+      '--write-id <id>',
+      'id of an earlier attempt whose outcome is unknown',
+    )
+    .option('--author <name>', 'author recorded in the history')
     .action((file: string, options: ApplyOptions) =>
       apply(program, file, options),
     );
   config
     .command('get')
-    .description('prints the configuration in force')
-    .option('--revision <number>', 'an earlier revision', '0')
+    .description('prints the active configuration')
+    .option(
+      '--revision <number>',
+      'revision to print; 0 is the active one',
+      '0',
+    )
     .action((options: {revision: string}) => get(program, options.revision));
   config
     .command('history')
@@ -51,11 +58,13 @@
     .action(() => history(program));
   config
     .command('diff <file>')
-    .description('lists what a file would change')
+    .description('lists the changes that applying a file would make')
     .action((file: string) => diff(program, file));
   config
     .command('restore')
-    .description('writes what is in force over a store that came back older')
+    .description(
+      'writes the active configuration over a store restored to an older state',
+    )
     .action(() => restore(program));
 }
 
@@ -90,7 +99,7 @@
     baseRevision: BigInt(base),
     document: readFileSync(file, 'utf8'),
   });
-  printApply(outputOf(program), response, writeId);
+  printApplyResult(outputOf(program), response, writeId);
 }
 
 async function restore(program: Command): Promise<void> {
@@ -98,50 +107,50 @@
   const writeId = randomUUID();
   const author = userInfo().username;
   const response = await client.restoreConfig({writeId, author});
-  printApply(outputOf(program), response, writeId);
+  printApplyResult(outputOf(program), response, writeId);
 }
 
-function printApply(
+function printApplyResult(
   output: Output,
   response: ApplyConfigResponse,
   writeId: string,
 ): void {
   const {outcome, revision, detail, changedParts, newestChange} = response;
-  const shown = {
+  const summary = {
     outcome: ApplyOutcome[outcome],
     revision: Number(revision),
     detail,
     changedParts,
     writeId,
-    newestChange: newestChange === undefined ? null : toRow(newestChange),
+    newestChange: newestChange === undefined ? null : historyRow(newestChange),
   };
   switch (outcome) {
     case ApplyOutcome.APPLIED:
-      output.value(shown, `Applied as revision ${revision}.`);
+      output.value(summary, `Applied as revision ${revision}.`);
       return;
     case ApplyOutcome.CONFLICT:
       output.value(
-        shown,
-        `Conflict: ${newestChange?.author ?? 'somebody'} made revision ${revision} first. ` +
-          `It differs from yours in: ${changedParts.join(', ') || 'nothing'}.`,
+        summary,
+        `Conflict: ${newestChange?.author ?? 'an unknown author'} wrote revision ${revision} first. ` +
+          `It differs from your file in: ${changedParts.join(', ') || 'nothing'}.`,
       );
       process.exitCode = ExitCode.CONFLICT;
       return;
     case ApplyOutcome.UNKNOWN:
       output.value(
-        shown,
-        `Unknown whether it was applied: ${detail}. ` +
-          `Ask again: config apply FILE --write-id ${writeId}`,
+        summary,
+        `Unknown outcome, the change may have been applied: ${detail}. ` +
+          `Retry with: config apply FILE --write-id ${writeId}`,
       );
       process.exitCode = ExitCode.UNKNOWN;
       return;
     case ApplyOutcome.STORE_BEHIND:
-      output.value(shown, `Not applied: ${detail}.`);
+      output.value(summary, `Not applied: ${detail}.`);
       process.exitCode = ExitCode.STORE_BEHIND;
       return;
     case ApplyOutcome.NOT_APPLIED:
     case ApplyOutcome.UNSPECIFIED:
-      output.value(shown, `Not applied: ${detail}.`);
+      output.value(summary, `Not applied: ${detail}.`);
       process.exitCode = ExitCode.FAILED;
   }
 }
@@ -155,7 +164,7 @@
 async function history(program: Command): Promise<void> {
   const client = createOperatorClient(program.opts<ConnectionOptions>());
   const response = await client.listHistory({});
-  outputOf(program).rows(response.changes.map(toRow));
+  outputOf(program).rows(response.changes.map(historyRow));
 }
 
 async function diff(program: Command, file: string): Promise<void> {
@@ -173,35 +182,35 @@
   before: Record<string, unknown>,
   after: Record<string, unknown>,
 ): DiffRow[] {
-  const old = flatten(before);
-  const wanted = flatten(after);
+  const oldValues = flattenByPath(before);
+  const newValues = flattenByPath(after);
   const rows: DiffRow[] = [];
-  for (const [path, text] of wanted) {
-    const had = old.get(path);
-    if (had === undefined) {
+  for (const [path, text] of newValues) {
+    const oldText = oldValues.get(path);
+    if (oldText === undefined) {
       rows.push({change: 'add', what: `${path} = ${text}`});
-    } else if (had !== text) {
-      rows.push({change: 'set', what: `${path}: ${had} -> ${text}`});
+    } else if (oldText !== text) {
+      rows.push({change: 'set', what: `${path}: ${oldText} -> ${text}`});
     }
   }
-  for (const path of old.keys()) {
-    if (!wanted.has(path)) rows.push({change: 'remove', what: path});
+  for (const path of oldValues.keys()) {
+    if (!newValues.has(path)) rows.push({change: 'remove', what: path});
   }
   return rows;
 }
 
-function flatten(value: unknown, path = ''): Map<string, string> {
+function flattenByPath(value: unknown, path = ''): Map<string, string> {
   if (typeof value !== 'object' || value === null) {
     return new Map([[path, JSON.stringify(value)]]);
   }
   const entries = Object.entries(value).map(([key, child]) => {
     const id = (child as {id?: string} | null)?.id;
-    return flatten(child, `${path}${path === '' ? '' : '.'}${id ?? key}`);
+    return flattenByPath(child, `${path}${path === '' ? '' : '.'}${id ?? key}`);
   });
   return new Map(entries.flatMap((map) => [...map]));
 }
 
-function toRow(change: ConfigChange) {
+function historyRow(change: ConfigChange) {
   return {
     revision: Number(change.revision),
     author: change.author,
--- a/packages/lilacledge/src/commands/exitCode.ts
+++ b/packages/lilacledge/src/commands/exitCode.ts
@@ -1,4 +1,4 @@
-/** Exit codes of `lilacledge`; docs/operators.md lists them. */
+/** Exit codes of `lilacledge`, listed in docs/operators.md. */
 export const ExitCode = {
   OK: 0,
   FAILED: 1,
--- a/packages/lilacledge/src/commands/fleetCommands.ts
+++ b/packages/lilacledge/src/commands/fleetCommands.ts
@@ -1,30 +1,32 @@
 import {createReadStream} from 'node:fs';
 import type {Command} from 'commander';
-import {readDecisionLines} from '../explain/decisionLines.js';
-import type {DecisionLine} from '../explain/decisionLines.js';
-import {tellStory} from '../explain/tellStory.js';
+import {readLogLines} from '../explain/decisionLines.js';
+import type {LogLine} from '../explain/decisionLines.js';
+import {buildRequestTimeline} from '../explain/tellStory.js';
 import {ExitCode} from './exitCode.js';
 import {createOperatorClient} from './operatorClient.js';
 import type {ConnectionOptions} from './operatorClient.js';
 import {createOutput} from './output.js';
 
-/** Adds `status`, `drain` and `explain`. */
+/** Adds the commands `status`, `drain` and `explain`. */
 export function addFleetCommands(program: Command): void {
   program
     .command('status')
-    .description('shows the endpoints as one entry sees them')
+    .description('shows the state of the endpoints as known to one entry')
     .action(() => status(program));
   program
     .command('drain <instance>')
-    .description('makes an endpoint refuse new work and finish what it has')
-    .option('--reason <text>', 'noted in the log', 'operator')
+    .description(
+      'makes an endpoint reject new work and finish its running work',
+    )
+    .option('--reason <text>', 'recorded in the log', 'operator')
     .action((instance: string, options: {reason: string}) =>
       drain(program, instance, options.reason),
     );
   program
     .command('explain <request> [files...]')
     .description(
-      'lists the decisions about a request: those an entry remembers, or ' +
+      'lists the decisions about a request: those an entry still keeps, or ' +
         'those in log files ("-" is standard input)',
     )
     .action((request: string, files: string[]) =>
@@ -38,12 +40,12 @@
   const client = createOperatorClient(program.opts<ConnectionOptions>());
   const response = await client.getStatus({});
   const output = outputOf(program);
-  output.say(
+  output.info(
     `${response.instanceId} (${response.zone}): revision ${response.revision}, ` +
       `${response.openRequests} open requests`,
   );
   if (response.storeBehindBy > 0n) {
-    output.say(`The store is ${response.storeBehindBy} revisions behind.`);
+    output.info(`The store is ${response.storeBehindBy} revisions behind.`);
   }
   output.rows(
     response.endpoints.map((endpoint) => ({
@@ -68,7 +70,7 @@
   const client = createOperatorClient(program.opts<ConnectionOptions>());
   const {sent} = await client.drainEndpoint({instanceId, reason});
   const text = sent
-    ? `${instanceId} was told to drain.`
+    ? `Drain request sent to ${instanceId}.`
     : `This entry has no link to ${instanceId}.`;
   outputOf(program).value({sent}, text);
   if (!sent) process.exitCode = ExitCode.FAILED;
@@ -91,20 +93,20 @@
   return createOutput(program.opts<{json?: boolean}>().json === true);
 }
 
-/** Tells a request's story from the logs of any number of processes. */
+/** Prints a request's timeline from the logs of any number of processes. */
 async function explainFromLogs(
   request: string,
   files: readonly string[],
 ): Promise<void> {
-  const lines: DecisionLine[] = [];
+  const lines: LogLine[] = [];
   for (const file of files) {
     const stream = file === '-' ? process.stdin : createReadStream(file);
-    lines.push(...(await readDecisionLines(stream)));
+    lines.push(...(await readLogLines(stream)));
   }
-  const steps = tellStory(request, lines);
+  const steps = buildRequestTimeline(request, lines);
   if (steps.length === 0) {
     process.stderr.write(
-      `No line names the request ${request}; ${lines.length} lines read.\n`,
+      `No log line mentions request ${request}; ${lines.length} lines read.\n`,
     );
     process.exitCode = ExitCode.FAILED;
     return;
--- a/packages/lilacledge/src/commands/operatorClient.ts
+++ b/packages/lilacledge/src/commands/operatorClient.ts
@@ -4,16 +4,16 @@
 import {createConnectTransport} from '@connectrpc/connect-node';
 import {OperatorService} from '@lilacledge/operator-api';
 
-/** Options of every command that talks to an entry. */
+/** Options of every command that connects to an entry. */
 export interface ConnectionOptions {
   readonly entry: string;
   readonly keyFile?: string;
 }
 
-/** Variable that may carry the operators' key. */
-export const OPERATOR_KEY_VARIABLE = 'LILACLEDGE_OPERATOR_KEY';
+/** Environment variable that may hold the operator key. */
+export const OPERATOR_KEY_ENV = 'LILACLEDGE_OPERATOR_KEY';
 
-/** A client of the operators' calls at one entry. */
+/** Creates a client of the operator API of one entry. */
 export function createOperatorClient(
   options: ConnectionOptions,
 ): Client<typeof OperatorService> {
@@ -35,9 +35,11 @@
   if (options.keyFile !== undefined) {
     return readFileSync(options.keyFile, 'utf8').trim();
   }
-  const key = process.env[OPERATOR_KEY_VARIABLE];
+  const key = process.env[OPERATOR_KEY_ENV];
   if (key === undefined || key === '') {
-    throw new Error(`set ${OPERATOR_KEY_VARIABLE} or give --key-file`);
+    throw new Error(
+      `no operator key: set ${OPERATOR_KEY_ENV} or pass --key-file`,
+    );
   }
   return key;
 }
--- a/packages/lilacledge/src/commands/output.ts
+++ b/packages/lilacledge/src/commands/output.ts
@@ -1,21 +1,21 @@
-/** Where a command writes, and in which form. */
+/** Prints the results of a command, as plain text or as JSON. */
 export interface Output {
-  /** A list of rows, as a table or as JSON. */
+  /** Prints rows as a table or as a JSON array. */
   rows(rows: ReadonlyArray<Readonly<Record<string, string | number>>>): void;
-  /** One sentence; nothing in JSON form. */
-  say(sentence: string): void;
-  /** One JSON value, or text in plain form. */
+  /** Prints a sentence in plain text; prints nothing in JSON. */
+  info(sentence: string): void;
+  /** Prints `text`, or `value` in JSON. */
   value(value: unknown, text: string): void;
 }
 
-/** Writes to standard output. */
+/** Creates an output that writes to standard output. */
 export function createOutput(isJson: boolean): Output {
   const write = (text: string): void => {
     process.stdout.write(`${text}\n`);
   };
   return {
     rows: (rows) => write(isJson ? JSON.stringify(rows) : toTable(rows)),
-    say: (sentence) => {
+    info: (sentence) => {
       if (!isJson) write(sentence);
     },
     value: (value, text) => write(isJson ? JSON.stringify(value) : text),
--- a/packages/lilacledge/src/explain/__tests__/operationsPage.test.ts
+++ b/packages/lilacledge/src/explain/__tests__/operationsPage.test.ts
@@ -1,27 +1,27 @@
 import {createReadStream, readFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import {describe, expect, it} from 'vitest';
-import {readDecisionLines} from '../decisionLines.js';
-import {tellStory} from '../tellStory.js';
+import {readLogLines} from '../decisionLines.js';
+import {buildRequestTimeline} from '../tellStory.js';
 
 const docs = fileURLToPath(new URL('../../../../../docs/', import.meta.url));
 const page = readFileSync(`${docs}OPERATIONS.md`, 'utf8');
 
-/** Commands of the page that read logs: the request's id and the file. */
+/** Matches `explain` commands on the page: the request id and the log file. */
 const COMMAND = /lilacledge explain ([0-9a-f]+) docs\/(\S+)/g;
 
 describe('docs/OPERATIONS.md', () => {
   const commands = [...page.matchAll(COMMAND)];
 
-  it('explains four kinds of failed request', () => {
+  it('has an explain command for four kinds of failed request', () => {
     expect(commands).toHaveLength(4);
   });
 
   it.each(commands.map(([, id, file]) => [id!, file!]))(
-    'shows lines that explaining %s from %s really prints',
+    'shows only lines that explain prints for %s from %s',
     async (id, file) => {
-      const lines = await readDecisionLines(createReadStream(docs + file));
-      const steps = tellStory(id, lines).map((step) => step.trim());
+      const lines = await readLogLines(createReadStream(docs + file));
+      const steps = buildRequestTimeline(id, lines).map((step) => step.trim());
       expect(steps.length).toBeGreaterThan(0);
       const at = page.indexOf(`lilacledge explain ${id}`);
       const block = page.slice(at, page.indexOf('```', at));
--- a/packages/lilacledge/src/explain/__tests__/tellStory.test.ts
+++ b/packages/lilacledge/src/explain/__tests__/tellStory.test.ts
@@ -1,7 +1,7 @@
 import {Readable} from 'node:stream';
 import {describe, expect, it} from 'vitest';
-import {parseDecisionLine, readDecisionLines} from '../decisionLines.js';
-import {tellStory} from '../tellStory.js';
+import {parseLogLine, readLogLines} from '../decisionLines.js';
+import {buildRequestTimeline} from '../tellStory.js';
 
 const LOG = [
   '1.26 edge-1 {"timeMs":1000,"level":"info","instance":"edge-1","event":"generation.chosen","request":"r1","endpoint":"e1","score":300}',
@@ -13,26 +13,29 @@
   '{"timeMs":2600,"cut',
 ].join('\n');
 
-async function story(requestId: string): Promise<string[]> {
-  return tellStory(requestId, await readDecisionLines(Readable.from([LOG])));
+async function timelineOf(requestId: string): Promise<string[]> {
+  return buildRequestTimeline(
+    requestId,
+    await readLogLines(Readable.from([LOG])),
+  );
 }
 
 describe('explain', () => {
   describe('parseDecisionLine', () => {
-    it('passes over what a collector wrote before the line', () => {
-      const line = parseDecisionLine(LOG.split('\n')[0]!);
+    it('ignores what a log collector wrote before the JSON object', () => {
+      const line = parseLogLine(LOG.split('\n')[0]!);
       expect(line).toMatchObject({timeMs: 1000, event: 'generation.chosen'});
     });
 
-    it('takes no other line', () => {
-      expect(parseDecisionLine('plain text')).toBeUndefined();
-      expect(parseDecisionLine('{"a":1}')).toBeUndefined();
+    it('returns undefined for other lines', () => {
+      expect(parseLogLine('plain text')).toBeUndefined();
+      expect(parseLogLine('{"a":1}')).toBeUndefined();
     });
   });
 
-  describe('tellStory', () => {
-    it('has the lines of all processes in order, with their inputs', async () => {
-      const steps = await story('r1');
+  describe('buildRequestTimeline', () => {
+    it('has the lines of all processes in order, with their fields', async () => {
+      const steps = await timelineOf('r1');
       expect(steps.map((step) => step.trim().split(/ {2,}/)[2])).toEqual([
         'generation.chosen',
         'endpoint.leaving',
@@ -42,12 +45,12 @@
       expect(steps[3]).toContain('detail="was cut"');
     });
 
-    it('leaves out endpoints that the request did not meet', async () => {
-      expect((await story('r1')).join()).not.toContain('e9');
+    it('omits endpoints that no line of the request names', async () => {
+      expect((await timelineOf('r1')).join()).not.toContain('e9');
     });
 
     it('is empty for an unknown request', async () => {
-      expect(await story('r2')).toEqual([]);
+      expect(await timelineOf('r2')).toEqual([]);
     });
   });
 });
--- a/packages/lilacledge/src/explain/decisionLines.ts
+++ b/packages/lilacledge/src/explain/decisionLines.ts
@@ -1,20 +1,20 @@
 import {createInterface} from 'node:readline';
 import type {Readable} from 'node:stream';
 
-/** One structured line of a process's log. */
-export interface DecisionLine {
+/** A structured line from the log of a process. */
+export interface LogLine {
   readonly timeMs: number;
   readonly instance: string;
   readonly event: string;
-  /** All fields of the line besides the three above. */
+  /** All other fields of the line. */
   readonly fields: Readonly<Record<string, unknown>>;
 }
 
 /**
- * Parses one line; undefined when it is none of ours. What a collector writes
- * before the object (a time, a name of a machine) is passed over.
+ * Parses a line of text; undefined if it is no log line of lilacledge. Ignores
+ * what a log collector writes before the JSON object, such as a time or a host.
  */
-export function parseDecisionLine(text: string): DecisionLine | undefined {
+export function parseLogLine(text: string): LogLine | undefined {
   const start = text.indexOf('{');
   if (start < 0) return undefined;
   const value = parseObject(text.slice(start));
@@ -24,13 +24,11 @@
   return {timeMs, instance: String(instance), event, fields};
 }
 
-/** Reads all lines of ours from a stream. */
-export async function readDecisionLines(
-  stream: Readable,
-): Promise<DecisionLine[]> {
-  const lines: DecisionLine[] = [];
+/** Reads all log lines of lilacledge from a stream. */
+export async function readLogLines(stream: Readable): Promise<LogLine[]> {
+  const lines: LogLine[] = [];
   for await (const text of createInterface({input: stream})) {
-    const line = parseDecisionLine(text);
+    const line = parseLogLine(text);
     if (line !== undefined) lines.push(line);
   }
   return lines;
@@ -40,7 +38,7 @@
   try {
     return JSON.parse(text) as Record<string, unknown>;
   } catch {
-    // Lines of other programs, or cut at the end of a file.
+    // A line of another program, or a line cut off at the end of a file.
     return undefined;
   }
 }
--- a/packages/lilacledge/src/explain/tellStory.ts
+++ b/packages/lilacledge/src/explain/tellStory.ts
@@ -1,26 +1,29 @@
-import type {DecisionLine} from './decisionLines.js';
+import type {LogLine} from './decisionLines.js';
 
-/** How long before and after a request its endpoints' own lines matter. */
+/** Time before and after a request from which endpoint lines are included. */
 const CONTEXT_MS = 2_000;
 
-/** Fields in which lines name endpoints. */
+/** Log fields that hold an endpoint. */
 const ENDPOINT_FIELDS = ['endpoint', 'from', 'to', 'goesOnAt', 'late'] as const;
 
 /**
- * The story of a request as one text a step: its own lines, and what was
- * learned meanwhile of the endpoints that it met. Empty when no line names it.
+ * Builds the timeline of a request, one text per step: the log lines of the
+ * request, and those about the endpoints that they name from the same time.
+ * Empty if no line names the request.
  */
-export function tellStory(
+export function buildRequestTimeline(
   requestId: string,
-  lines: readonly DecisionLine[],
+  lines: readonly LogLine[],
 ): string[] {
-  const own = lines.filter(({fields}) => fields['request'] === requestId);
-  if (own.length === 0) return [];
-  const times = own.map(({timeMs}) => timeMs);
+  const requestLines = lines.filter(
+    ({fields}) => fields['request'] === requestId,
+  );
+  if (requestLines.length === 0) return [];
+  const times = requestLines.map(({timeMs}) => timeMs);
   const fromMs = Math.min(...times) - CONTEXT_MS;
   const toMs = Math.max(...times) + CONTEXT_MS;
-  const endpoints = new Set(own.flatMap(endpointsOf));
-  const context = lines.filter(
+  const endpoints = new Set(requestLines.flatMap(endpointsOf));
+  const endpointLines = lines.filter(
     ({timeMs, fields}) =>
       fields['request'] === undefined &&
       timeMs >= fromMs &&
@@ -28,18 +31,18 @@
       endpoints.has(String(fields['endpoint'])),
   );
   const startMs = Math.min(...times);
-  return [...own, ...context]
+  return [...requestLines, ...endpointLines]
     .sort((a, b) => a.timeMs - b.timeMs)
     .map((line) => formatLine(line, startMs));
 }
 
-function endpointsOf(line: DecisionLine): string[] {
+function endpointsOf(line: LogLine): string[] {
   return ENDPOINT_FIELDS.map((name) => line.fields[name]).filter(
     (value) => typeof value === 'string',
   );
 }
 
-function formatLine(line: DecisionLine, startMs: number): string {
+function formatLine(line: LogLine, startMs: number): string {
   const atMs = Math.round(line.timeMs - startMs);
   const sign = atMs < 0 ? '' : '+';
   const time = `${sign}${atMs} ms`.padStart(10);
--- a/packages/lilacledge/src/runProcess.ts
+++ b/packages/lilacledge/src/runProcess.ts
@@ -6,18 +6,18 @@
 import {createLogger, createMetrics, createTracer} from '@lilacledge/telemetry';
 import type {Logger, MetricsRegistry, Tracer} from '@lilacledge/telemetry';
 
-/** What each process of either role has. */
-export interface ProcessParts {
+/** Dependencies that a process of either role needs. */
+export interface ProcessResources {
   readonly logger: Logger;
   readonly metrics: MetricsRegistry;
   readonly tracer: Tracer;
   readonly store: KeyValueStore;
 }
 
-/** Builds the parts that do not depend on the role. */
-export async function createProcessParts(
+/** Creates the dependencies that both roles share. */
+export async function createProcessResources(
   settings: ProcessSettings,
-): Promise<ProcessParts> {
+): Promise<ProcessResources> {
   const {instanceId, logLevel, platform, role, tracesUrl} = settings;
   return {
     logger: createLogger({level: logLevel, instanceId}),
@@ -30,7 +30,7 @@
   };
 }
 
-/** Listens on the address of the settings; resolves with the port. */
+/** Starts the server on the given address; resolves with the bound port. */
 export function listen(
   server: Server,
   host: string,
@@ -44,20 +44,20 @@
   });
 }
 
-/** Runs `shutdown` once on SIGTERM or SIGINT, then lets the process end. */
+/** Runs `shutdown` once on SIGTERM or SIGINT, then exits the process. */
 export function onTerminate(
-  parts: ProcessParts,
+  resources: ProcessResources,
   server: Server,
   shutdown: () => Promise<void>,
 ): void {
-  let isLeaving = false;
-  const leave = (): void => {
-    if (isLeaving) return;
-    isLeaving = true;
+  let isShuttingDown = false;
+  const handleSignal = (): void => {
+    if (isShuttingDown) return;
+    isShuttingDown = true;
     shutdown()
-      .then(() => parts.tracer.shutdown())
+      .then(() => resources.tracer.shutdown())
       .catch((error: unknown) => {
-        parts.logger.error('Shutdown failed.', {error: String(error)});
+        resources.logger.error('Shutdown failed.', {error: String(error)});
       })
       .finally(() => {
         server.close();
@@ -65,6 +65,6 @@
         process.exit(0);
       });
   };
-  process.on('SIGTERM', leave);
-  process.on('SIGINT', leave);
+  process.on('SIGTERM', handleSignal);
+  process.on('SIGINT', handleSignal);
 }
--- a/packages/lilacledge/src/runSidecar.ts
+++ b/packages/lilacledge/src/runSidecar.ts
@@ -7,33 +7,33 @@
   createSidecarServer,
 } from '@lilacledge/sidecar';
 import type {EndpointPort} from '@lilacledge/sidecar';
-import {createProcessParts, listen, onTerminate} from './runProcess.js';
+import {createProcessResources, listen, onTerminate} from './runProcess.js';
 
-const PLAIN_TIMEOUT_MS = 30_000;
+const PLAIN_CALL_TIMEOUT_MS = 30_000;
 
-/** Runs one sidecar until it is told to leave. */
+/** Runs a sidecar until SIGTERM or SIGINT. */
 export async function runSidecar(settings: SidecarSettings): Promise<void> {
-  const parts = await createProcessParts(settings);
+  const resources = await createProcessResources(settings);
   const ports = {
     clock: systemClock,
     random: Math.random,
-    store: parts.store,
+    store: resources.store,
     endpoint: createEndpoint(settings),
-    logger: parts.logger,
-    metrics: parts.metrics,
-    tracer: parts.tracer,
+    logger: resources.logger,
+    metrics: resources.metrics,
+    tracer: resources.tracer,
   };
-  // The port is bound before any slot is claimed: that a process listens here
-  // proves that its predecessor at this address is dead.
+  // The port must be bound before any key slot is claimed: listening on this
+  // address proves that the predecessor there is dead.
   const sidecar = createSidecar(ports, settings);
   const server = createSidecarServer(sidecar, ports);
   const port = await listen(server, settings.host, settings.port);
   sidecar.start();
-  parts.logger.info('Sidecar listens.', {
+  resources.logger.info('Sidecar is listening.', {
     port,
     incarnation: sidecar.incarnation,
   });
-  onTerminate(parts, server, () => sidecar.shutdown());
+  onTerminate(resources, server, () => sidecar.shutdown());
 }
 
 function createEndpoint(settings: SidecarSettings): EndpointPort {
@@ -42,6 +42,6 @@
     case 'engine':
       return {kind, engine: createHttpEngine(url)};
     case 'plain':
-      return {kind, plain: createHttpPlain(url, PLAIN_TIMEOUT_MS)};
+      return {kind, plain: createHttpPlain(url, PLAIN_CALL_TIMEOUT_MS)};
   }
 }
