--- a/packages/sidecar/src/engineScheduler.ts
+++ b/packages/sidecar/src/engineScheduler.ts
@@ -231,10 +231,10 @@
   private decide(
     item: ScheduledGeneration,
     claims: readonly MemoryClaim[],
-    isHeldBack: boolean,
+    isPreempting: boolean,
   ): AdmissionDecision {
     const rule = toAdmissionRule(this.policy);
-    if (rule.kind === 'expected' && isHeldBack && !isShort(item)) {
+    if (rule.kind === 'expected' && isPreempting && !isShort(item)) {
       return {outcome: 'wait', reason: 'memory'};
     }
     const capacity =
--- a/packages/sidecar/src/keyedCalls.ts
+++ b/packages/sidecar/src/keyedCalls.ts
@@ -40,9 +40,9 @@
 }
 
 /**
- * Runs calls that must not be repeated at most once per idempotency key. The
- * record of a key is created before its call is forwarded. It is deleted again
- * only if the call is known not to have run.
+ * Runs calls that must not be repeated, each at most once per idempotency key.
+ * The record of a key is created before its call is forwarded, and is deleted
+ * only if the call is known not to have run or if there are too many records.
  */
 export class KeyedCalls {
   private readonly records = new Map<string, KeyRecord>();
--- a/packages/sidecar/src/scheduled.ts
+++ b/packages/sidecar/src/scheduled.ts
@@ -2,7 +2,10 @@
 import type {LengthModel, MemoryClaim} from '@lilacledge/policy';
 import type {Generation} from './generation.js';
 
-/** Expected output up to which a request counts as short. */
+/**
+ * Expected output up to which a request counts as short, and so may be admitted
+ * while longer ones are held back.
+ */
 const SHORT_OUTPUT_TOKENS = 96;
 
 /** Engine priority levels, by expected length, within one request priority. */
