--- a/packages/sidecar/src/createSidecar.ts
+++ b/packages/sidecar/src/createSidecar.ts
@@ -113,9 +113,9 @@
       service: settings.service,
       zone: settings.zone,
     };
-    const greeting = await greetEntry(link, identity, settings.linkKey);
-    if (!greeting.ok) {
-      refuseLink(link, greeting.detail);
+    const handshake = await greetEntry(link, identity, settings.linkKey);
+    if (!handshake.ok) {
+      refuseLink(link, handshake.detail);
       return;
     }
     links.add(link);
@@ -132,7 +132,7 @@
     const end = await link.ended;
     if (end.kind !== 'closed') metrics.failedLinks.inc({reason: end.kind});
     logger.info('Link ended.', {
-      peer: greeting.peer.instanceId,
+      peer: handshake.peer.instanceId,
       reason: end.kind,
       detail: end.detail,
     });
