--- a/packages/shared/src/__tests__/earlySignals.test.ts
+++ b/packages/shared/src/__tests__/earlySignals.test.ts
@@ -12,28 +12,28 @@
   calls = 0;
 });
 
-function handle(): void {
+function registerHandler(): void {
   signals.on('SIGHUP', () => calls++);
 }
 
 describe('EarlySignals', () => {
-  it('hands on each signal that comes later', () => {
-    handle();
+  it('calls the handler for each later signal', () => {
+    registerHandler();
     source.emit('SIGHUP');
     source.emit('SIGHUP');
     expect(calls).toBe(2);
   });
 
-  it('hands on one that came before its handler, once', () => {
+  it('calls the handler once for signals that came before it', () => {
     source.emit('SIGHUP');
     source.emit('SIGHUP');
-    handle();
+    registerHandler();
     expect(calls).toBe(1);
   });
 
-  it('keeps signals apart', () => {
+  it('calls no handler of another signal', () => {
     source.emit('SIGTERM');
-    handle();
+    registerHandler();
     expect(calls).toBe(0);
   });
 });
--- a/packages/shared/src/assertNever.ts
+++ b/packages/shared/src/assertNever.ts
@@ -1,4 +1,4 @@
-/** Ends an exhaustive switch: the compiler refuses a missing case. */
+/** Makes a switch exhaustive: a missing case is a compile-time error. */
 export function assertNever(value: never): never {
   throw new Error(`unexpected case: ${JSON.stringify(value)}`);
 }
--- a/packages/shared/src/asyncQueue.ts
+++ b/packages/shared/src/asyncQueue.ts
@@ -1,6 +1,6 @@
 /**
- * An unbounded queue between one producer and one consumer. Producers that can
- * outrun their consumer must bound themselves (see the credit of a link).
+ * An unbounded queue for one consumer. A producer that can be faster than the consumer
+ * must limit itself, as the credit of a link does.
  */
 export class AsyncQueue<T> implements AsyncIterable<T> {
   private readonly items: T[] = [];
@@ -11,7 +11,7 @@
     return this.items.length;
   }
 
-  /** Adds an item; ignored after `close`. */
+  /** Adds an item; does nothing after `close`. */
   push(item: T): void {
     if (this.closed) return;
     const waiting = this.waiting;
@@ -23,7 +23,7 @@
     waiting({value: item, done: false});
   }
 
-  /** Ends the iteration after the items that are already in the queue. */
+  /** Ends the iteration once the items already in the queue are consumed. */
   close(): void {
     this.closed = true;
     this.waiting?.({value: undefined, done: true});
--- a/packages/shared/src/backoff.ts
+++ b/packages/shared/src/backoff.ts
@@ -1,12 +1,12 @@
 import type {Random} from './random.js';
 
-/** Bounds of an exponential back-off. */
+/** First and longest delay of an exponential backoff, before jitter. */
 export interface BackoffSettings {
   readonly firstMs: number;
   readonly maxMs: number;
 }
 
-/** The wait before try `attempt` (from 0), with full jitter above one half. */
+/** The delay before attempt `attempt` (from 0): 50 to 100 % of the exponential backoff. */
 export function backoffMs(
   settings: BackoffSettings,
   attempt: number,
--- a/packages/shared/src/clock.ts
+++ b/packages/shared/src/clock.ts
@@ -4,9 +4,9 @@
 /**
  * The only source of time in the product, in milliseconds.
  *
- * `nowMs` is monotonic, has no fixed origin and counts suspensions of the instance;
- * `wallMs` is Unix time and is used only where times of several machines meet
- * (key mint times, grants).
+ * `nowMs` is monotonic, has no fixed origin and includes suspensions of the instance.
+ * `wallMs` is Unix time, used only where times of several instances are compared
+ * (mint times of keys, grants).
  */
 export interface Clock {
   nowMs(): number;
--- a/packages/shared/src/earlySignals.ts
+++ b/packages/shared/src/earlySignals.ts
@@ -1,15 +1,15 @@
-/** Signals that stop a process, or tell it to read its settings again. */
+/** Signals that stop a process or make it reload its settings. */
 export const HANDLED_SIGNALS = ['SIGTERM', 'SIGINT', 'SIGHUP'] as const;
 export type HandledSignal = (typeof HANDLED_SIGNALS)[number];
 
-/** Where signals come from, as `process` is. */
+/** Emitter of signals; `process` is one. */
 export interface SignalSource {
   on(signal: HandledSignal, handler: () => void): unknown;
 }
 
 /**
- * Takes signals from the first moment on. One that comes before a process is ready for it would
- * end it by default; here it is kept until its handler is there.
+ * Handles signals from the start of a process on, as their default action would end it. A
+ * signal that arrives before its handler is registered is kept for that handler.
  */
 export class EarlySignals {
   private readonly handlers = new Map<HandledSignal, () => void>();
@@ -17,17 +17,17 @@
 
   constructor(source: SignalSource) {
     for (const signal of HANDLED_SIGNALS) {
-      source.on(signal, () => this.take(signal));
+      source.on(signal, () => this.handle(signal));
     }
   }
 
-  /** Calls `handler` at each such signal, and now if one came before. */
+  /** Calls `handler` for each such signal, and once now if any arrived before. */
   on(signal: HandledSignal, handler: () => void): void {
     this.handlers.set(signal, handler);
     if (this.pending.delete(signal)) handler();
   }
 
-  private take(signal: HandledSignal): void {
+  private handle(signal: HandledSignal): void {
     const handler = this.handlers.get(signal);
     if (handler === undefined) this.pending.add(signal);
     else handler();
--- a/packages/shared/src/failure.ts
+++ b/packages/shared/src/failure.ts
@@ -1,6 +1,6 @@
 import {Verdict} from './verdict.js';
 
-/** Every way in which a request can end without its answer. */
+/** Reasons for a request to end without an answer. */
 export const FailureKind = {
   BAD_REQUEST: 'badRequest',
   UNAUTHENTICATED: 'unauthenticated',
@@ -25,18 +25,18 @@
 
 export type FailureKind = (typeof FailureKind)[keyof typeof FailureKind];
 
-/** A final, typed answer in place of a result. */
+/** The final outcome of a request that has no result. */
 export interface Failure {
   readonly kind: FailureKind;
-  /** Says whether this one request may have run. */
+  /** Whether this request may have run. */
   readonly verdict: Verdict;
-  /** One short sentence for people; carries no secret. */
+  /** A short sentence for the user; contains no secrets. */
   readonly detail: string;
-  /** When the caller should come back, if coming back can help. */
+  /** When the caller should retry, if a retry can help. */
   readonly retryAfterMs?: number;
 }
 
-/** Builds a failure that is known not to have run. */
+/** Creates the failure of a request that has not run. */
 export function notRun(
   kind: FailureKind,
   detail: string,
@@ -45,7 +45,7 @@
   return {kind, verdict: Verdict.NOT_RUN, detail, retryAfterMs};
 }
 
-/** Builds a failure whose request may have run. */
+/** Creates the failure of a request that may have run. */
 export function mayHaveRun(
   kind: FailureKind,
   detail: string,
@@ -54,7 +54,7 @@
   return {kind, verdict: Verdict.MAY_HAVE_RUN, detail, retryAfterMs};
 }
 
-/** Carries a failure through code that throws. */
+/** An exception that carries a failure. */
 export class FailureError extends Error {
   constructor(readonly failure: Failure) {
     super(`${failure.kind}: ${failure.detail}`);
@@ -64,7 +64,7 @@
 
 const FAILURE_KINDS: ReadonlySet<unknown> = new Set(Object.values(FailureKind));
 
-/** True for a word of `FailureKind`. */
+/** Whether `value` is one of `FailureKind`. */
 export function isFailureKind(value: unknown): value is FailureKind {
   return FAILURE_KINDS.has(value);
 }
--- a/packages/shared/src/mintedKey.ts
+++ b/packages/shared/src/mintedKey.ts
@@ -10,7 +10,7 @@
   return Number.parseInt(key.slice(0, 8) + key.slice(9, 13), 16);
 }
 
-/** Builds a UUIDv7 from a time and 10 random bytes. */
+/** Creates a UUIDv7 from a Unix time and 10 random bytes. */
 export function toMintedKey(timeMs: number, random: Uint8Array): string {
   const time = Math.floor(timeMs).toString(16).padStart(12, '0');
   const tail = Buffer.from(random.slice(0, 10)).toString('hex');
--- a/packages/shared/src/random.ts
+++ b/packages/shared/src/random.ts
@@ -1,10 +1,10 @@
-/** A source of numbers in [0, 1). */
+/** Returns a number in [0, 1). */
 export type Random = () => number;
 
-/** No randomness: always the middle of the range. */
+/** Always the middle of the range, for callers that switch randomness off. */
 export const middleOfRange: Random = () => 0.5;
 
-/** A small seeded generator (mulberry32): the same seed, the same numbers. */
+/** A seeded generator (mulberry32): the same seed gives the same numbers. */
 export function createRandom(seed: number): Random {
   let state = seed >>> 0;
   return () => {
@@ -15,7 +15,7 @@
   };
 }
 
-/** FNV-1a over UTF-16 units, finished with a mixer; for rendezvous weights. */
+/** FNV-1a over UTF-16 code units with the MurmurHash3 finalizer; not cryptographic. */
 export function hash32(text: string): number {
   let hash = 0x811c9dc5;
   for (let index = 0; index < text.length; index++) {
@@ -26,15 +26,15 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 }
 
-/** Orders `candidates` by rendezvous weight for `key`, highest first. */
+/** Orders `candidates` for `key` by rendezvous hashing, highest weight first. */
 export function rendezvous(
   key: string,
   candidates: readonly string[],
 ): string[] {
-  const weighed = candidates.map((id) => ({
+  const weighted = candidates.map((id) => ({
     id,
     weight: hash32(`${id}|${key}`),
   }));
-  weighed.sort((a, b) => b.weight - a.weight || (a.id < b.id ? -1 : 1));
-  return weighed.map((candidate) => candidate.id);
+  weighted.sort((a, b) => b.weight - a.weight || (a.id < b.id ? -1 : 1));
+  return weighted.map((candidate) => candidate.id);
 }
--- a/packages/shared/src/suspensionClock.ts
+++ b/packages/shared/src/suspensionClock.ts
@@ -1,42 +1,42 @@
 import type {CancelTimer, Clock} from './clock.js';
 
-/** What an operating system tells of time, in milliseconds. */
+/** Clocks and timers of the operating system, in milliseconds. */
 export interface TimeSources {
-  /** Steady time, which stands while the instance is suspended. */
+  /** Monotonic time, which stops while the instance is suspended. */
   steadyMs(): number;
-  /** Unix time, which operators and others may set. */
+  /** Unix time, which can be set. */
   wallMs(): number;
-  /** Time since the instance was started, suspensions included; undefined when it can't be read. */
+  /** Time since the boot of the instance, including suspensions; undefined if unreadable. */
   bootMs(): number | undefined;
   /** Runs `task` once after `delayMs` of steady time. */
   after(delayMs: number, task: () => void): CancelTimer;
 }
 
-/** What became visible of time that the steady clock did not count. */
+/** A discontinuity between the clocks, found when they are compared. */
 export type ClockGap =
-  /** The instance was suspended; the time is counted from now on. */
+  /** The instance was suspended; `nowMs` includes that time from now on. */
   | {readonly kind: 'suspended'; readonly gapMs: number}
-  /** The time of day was set, by so much. */
+  /** The wall clock was set. */
   | {readonly kind: 'stepped'; readonly stepMs: number}
-  /** One of both: no clock that counts suspensions can be trusted here. */
+  /** A suspension or a step of the wall clock: the boot clock is not reliable here. */
   | {readonly kind: 'unknown'; readonly jumpMs: number};
 
-/** The time of day is corrected by less than this between two looks; more is looked into. */
-const LEAST_DRIFT_MS = 5;
+/** Corrections of the wall clock between two readings are smaller; more needs a comparison. */
+const MIN_WALL_JUMP_MS = 5;
 
-/** A step of the time of day, or a gap of an unknown kind, below this is not told. */
-const LEAST_TOLD_MS = 100;
+/** Smaller steps of the wall clock and smaller gaps of unknown kind are not reported. */
+const MIN_REPORTED_JUMP_MS = 100;
 
-/** How often the boot clock is compared, in steady time: a look costs microseconds. */
-const CHECK_INTERVAL_MS = 250;
+/** How often the boot clock is read, in steady time; a reading costs microseconds. */
+const BOOT_CHECK_INTERVAL_MS = 250;
 
-/** Differences below this are its resolution, and the time between two readings. */
+/** Covers the resolution of the boot clock and the time between the two readings. */
 const BOOT_TOLERANCE_MS = 30;
 
-/** Checks in a row in which it has run like the steady clock before it is trusted. */
-const CHECKS_TO_TRUST = 20;
+/** Consecutive checks in which the boot clock must match the steady clock to be trusted. */
+const MIN_CONSISTENT_CHECKS = 20;
 
-interface Reading {
+interface ClockReading {
   readonly steadyMs: number;
   readonly bootMs: number;
 }
@@ -48,42 +48,44 @@
 }
 
 /**
- * Steady time that includes suspensions of the instance, with timers that are due by it.
+ * A monotonic clock that includes suspensions of the instance, with timers that follow it.
  *
- * The steady clock stands while an instance is suspended, and all that has an age would be
- * too young afterwards: news of leaves and orders, leases, deadlines of callers. Clocks that
- * count suspensions are slow to read and coarse, so that one is asked only when the time of
- * day has moved against the steady clock. It tells a suspension from a step of the time of
- * day, where it has been seen to run like the steady clock; under some hosts it tells the
- * time of another machine, and then a gap is told of, and not counted.
+ * The steady clock stops while an instance is suspended. Without a correction, everything
+ * with an age would seem too recent afterwards: leave notices, orders, leases and deadlines
+ * of callers. Clocks that include suspensions are slow to read and coarse, so the boot clock
+ * is read only at intervals and when the wall clock has moved against the steady clock. It
+ * distinguishes a suspension from a step of the wall clock, provided that it has been seen
+ * to match the steady clock. On some hosts it gives the time of another machine: a gap is
+ * then reported, but not included.
  */
 export class SuspensionClock implements Clock {
   private suspendedMs = 0;
-  private wallLeadMs: number;
-  private checked: Reading | undefined;
-  private goodChecks = 0;
-  private checkedAtMs: number;
+  private wallOffsetMs: number;
+  private lastReading: ClockReading | undefined;
+  private consistentChecks = 0;
+  private lastCheckAtMs: number;
   private readonly pending = new Set<PendingTimer>();
   private readonly listeners: Array<(gap: ClockGap) => void> = [];
 
   constructor(private readonly sources: TimeSources) {
     const steadyMs = sources.steadyMs();
-    this.wallLeadMs = sources.wallMs() - steadyMs;
-    this.checkedAtMs = steadyMs;
-    this.checked = this.read(steadyMs);
+    this.wallOffsetMs = sources.wallMs() - steadyMs;
+    this.lastCheckAtMs = steadyMs;
+    this.lastReading = this.read(steadyMs);
   }
 
   nowMs(): number {
     const {sources} = this;
     const steadyMs = sources.steadyMs();
-    const leadMs = sources.wallMs() - steadyMs;
-    const isDue = steadyMs - this.checkedAtMs >= CHECK_INTERVAL_MS;
-    const hasDrifted = Math.abs(leadMs - this.wallLeadMs) > LEAST_DRIFT_MS;
+    const offsetMs = sources.wallMs() - steadyMs;
+    const isDue = steadyMs - this.lastCheckAtMs >= BOOT_CHECK_INTERVAL_MS;
+    const hasDrifted =
+      Math.abs(offsetMs - this.wallOffsetMs) > MIN_WALL_JUMP_MS;
     if (!isDue && !hasDrifted) {
-      this.wallLeadMs = leadMs;
+      this.wallOffsetMs = offsetMs;
       return steadyMs + this.suspendedMs;
     }
-    // Read again: the process may have been held up between the two.
+    // Read the steady clock again: the process may have been paused since the first reading.
     this.compare(sources.steadyMs());
     return sources.steadyMs() + this.suspendedMs;
   }
@@ -98,19 +100,19 @@
       task,
       cancel: () => {},
     };
-    this.arm(timer, delayMs);
+    this.schedule(timer, delayMs);
     return () => {
       this.pending.delete(timer);
       timer.cancel();
     };
   }
 
-  /** Calls `listener` at the first look at the time after a gap. */
+  /** Calls `listener` when the first reading after a gap detects it. */
   onGap(listener: (gap: ClockGap) => void): void {
     this.listeners.push(listener);
   }
 
-  private arm(timer: PendingTimer, delayMs: number): void {
+  private schedule(timer: PendingTimer, delayMs: number): void {
     this.pending.add(timer);
     timer.cancel = this.sources.after(Math.max(0, delayMs), () => {
       this.pending.delete(timer);
@@ -118,61 +120,62 @@
     });
   }
 
-  /** Compares the three clocks since the last time, and counts what was missed. */
+  /** Compares how far the three clocks moved since the last check, and adds a suspension. */
   private compare(steadyMs: number): void {
-    const leadMs = this.sources.wallMs() - steadyMs;
-    const jumpMs = leadMs - this.wallLeadMs;
-    this.wallLeadMs = leadMs;
-    const isTrusted = this.goodChecks >= CHECKS_TO_TRUST;
-    const aheadMs = this.bootLeadMs(steadyMs) ?? Number.NaN;
-    const isLike = Math.abs(aheadMs) <= BOOT_TOLERANCE_MS;
-    const isGap = isTrusted && aheadMs > BOOT_TOLERANCE_MS;
-    // Alone it is believed once: the time of day moves too, unless set to hide just that.
-    const isBorneOut = isGap && Math.abs(jumpMs) > LEAST_DRIFT_MS;
-    if (isLike) this.goodChecks++;
-    else if (!isBorneOut) this.goodChecks = 0;
-    if (isGap) this.count(aheadMs, steadyMs);
-    else if (Math.abs(jumpMs) > LEAST_TOLD_MS) {
-      const isStep = isTrusted && isLike;
-      this.tell(
+    const offsetMs = this.sources.wallMs() - steadyMs;
+    const jumpMs = offsetMs - this.wallOffsetMs;
+    this.wallOffsetMs = offsetMs;
+    const isTrusted = this.consistentChecks >= MIN_CONSISTENT_CHECKS;
+    const bootAheadMs = this.bootDriftMs(steadyMs) ?? Number.NaN;
+    const matchesSteady = Math.abs(bootAheadMs) <= BOOT_TOLERANCE_MS;
+    const isGap = isTrusted && bootAheadMs > BOOT_TOLERANCE_MS;
+    // A gap that only the boot clock shows is accepted once and then resets the trust in it:
+    // a suspension moves the wall clock too, unless that was set to hide exactly this gap.
+    const isConfirmed = isGap && Math.abs(jumpMs) > MIN_WALL_JUMP_MS;
+    if (matchesSteady) this.consistentChecks++;
+    else if (!isConfirmed) this.consistentChecks = 0;
+    if (isGap) this.count(bootAheadMs, steadyMs);
+    else if (Math.abs(jumpMs) > MIN_REPORTED_JUMP_MS) {
+      const isStep = isTrusted && matchesSteady;
+      this.notify(
         isStep ? {kind: 'stepped', stepMs: jumpMs} : {kind: 'unknown', jumpMs},
       );
     }
   }
 
-  /** The instance was suspended: all is as much older, and timers are due sooner. */
+  /** Adds a suspension to the time, which brings timers forward. */
   private count(gapMs: number, steadyMs: number): void {
     this.suspendedMs += gapMs;
-    this.rearm(steadyMs + this.suspendedMs);
-    this.tell({kind: 'suspended', gapMs});
+    this.reschedule(steadyMs + this.suspendedMs);
+    this.notify({kind: 'suspended', gapMs});
   }
 
-  /** By how much the boot clock went further than the steady one since the last look. */
-  private bootLeadMs(steadyMs: number): number | undefined {
-    const before = this.checked;
+  /** How far the boot clock moved ahead of the steady clock since the last check. */
+  private bootDriftMs(steadyMs: number): number | undefined {
+    const before = this.lastReading;
     const now = this.read(steadyMs);
-    this.checked = now;
-    this.checkedAtMs = steadyMs;
+    this.lastReading = now;
+    this.lastCheckAtMs = steadyMs;
     if (before === undefined || now === undefined) return undefined;
     return now.bootMs - before.bootMs - (now.steadyMs - before.steadyMs);
   }
 
-  private read(steadyMs: number): Reading | undefined {
+  private read(steadyMs: number): ClockReading | undefined {
     const bootMs = this.sources.bootMs();
     return bootMs === undefined ? undefined : {steadyMs, bootMs};
   }
 
-  /** Timers that fell due meanwhile run at once, the others as much sooner. */
-  private rearm(nowMs: number): void {
+  /** Sets all timers anew: overdue ones run at once, the others earlier by the suspension. */
+  private reschedule(nowMs: number): void {
     const inOrder = [...this.pending].sort((a, b) => a.dueMs - b.dueMs);
     this.pending.clear();
     for (const timer of inOrder) {
       timer.cancel();
-      this.arm(timer, timer.dueMs - nowMs);
+      this.schedule(timer, timer.dueMs - nowMs);
     }
   }
 
-  private tell(gap: ClockGap): void {
+  private notify(gap: ClockGap): void {
     for (const listener of this.listeners) listener(gap);
   }
 }
--- a/packages/shared/src/systemClock.ts
+++ b/packages/shared/src/systemClock.ts
@@ -14,12 +14,12 @@
   },
 });
 
-/** Counts suspensions, in steps of 10 ms on Linux. */
+/** Includes suspensions; the resolution is 10 ms on Linux. */
 function readBootMs(): number | undefined {
   try {
     return uptime() * MS_PER_S;
   } catch {
-    // Told of at the next gap, which is then of an unknown kind.
+    // The next gap is then reported with the kind `unknown`.
     return undefined;
   }
 }
--- a/packages/shared/src/verdict.ts
+++ b/packages/shared/src/verdict.ts
@@ -1,4 +1,4 @@
-/** Whether a request may have run at its endpoint. */
+/** Whether a request has run at its endpoint. */
 export const Verdict = {
   NOT_RUN: 'notRun',
   RAN: 'ran',
@@ -7,7 +7,7 @@
 
 export type Verdict = (typeof Verdict)[keyof typeof Verdict];
 
-/** True for one of the three verdict words. */
+/** Whether `value` is one of `Verdict`. */
 export function isVerdict(value: unknown): value is Verdict {
   return (
     value === Verdict.NOT_RUN ||
--- a/packages/shared/src/virtualClock.ts
+++ b/packages/shared/src/virtualClock.ts
@@ -8,8 +8,8 @@
 }
 
 /**
- * A clock that moves only when told to, for tests and for the measuring rig.
- * Timers that fall due at one instant run in the order in which they were set.
+ * A clock that only moves when it is advanced, for tests and simulations. Timers that are
+ * due at the same time run in the order in which they were set.
  */
 export class VirtualClock implements Clock {
   private timeMs = 0;
@@ -39,34 +39,34 @@
     };
   }
 
-  /** Runs every timer due within `durationMs`, letting promises settle between. */
+  /** Runs all timers due within `durationMs`, and pending promise reactions in between. */
   async advance(durationMs: number): Promise<void> {
     const endMs = this.timeMs + durationMs;
-    await settle();
+    await runPendingPromises();
     for (;;) {
       const next = this.heap[0];
       if (next === undefined || next.dueMs > endMs) break;
-      this.runInstant(next.dueMs);
-      await settle();
+      this.runTimersDueAt(next.dueMs);
+      await runPendingPromises();
     }
     this.timeMs = endMs;
   }
 
-  /** Moves on until `done` holds; fails after `limitMs` of virtual time. */
+  /** Advances until `done` returns true; throws after `limitMs` of virtual time. */
   async advanceUntil(done: () => boolean, limitMs = 600_000): Promise<void> {
     const endMs = this.timeMs + limitMs;
-    await settle();
+    await runPendingPromises();
     while (!done()) {
       const next = this.heap[0];
       if (next === undefined || next.dueMs > endMs) {
         throw new Error(`condition not reached within ${limitMs} ms`);
       }
-      this.runInstant(next.dueMs);
-      await settle();
+      this.runTimersDueAt(next.dueMs);
+      await runPendingPromises();
     }
   }
 
-  private runInstant(dueMs: number): void {
+  private runTimersDueAt(dueMs: number): void {
     this.timeMs = Math.max(this.timeMs, dueMs);
     while (this.heap.length > 0 && this.heap[0]!.dueMs <= dueMs) {
       const timer = this.pop();
@@ -90,11 +90,11 @@
     const heap = this.heap;
     const top = heap[0]!;
     const last = heap.pop()!;
-    if (heap.length > 0) this.sink(last);
+    if (heap.length > 0) this.siftDown(last);
     return top;
   }
 
-  private sink(timer: Timer): void {
+  private siftDown(timer: Timer): void {
     const heap = this.heap;
     let index = 0;
     for (;;) {
@@ -114,7 +114,7 @@
   return a.dueMs < b.dueMs || (a.dueMs === b.dueMs && a.order < b.order);
 }
 
-/** One macrotask runs after all promise reactions that are ready. */
-function settle(): Promise<void> {
+/** Resolves in a macrotask, which runs after all promise reactions that are ready. */
+function runPendingPromises(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/packages/shared/src/virtualMachine.ts
+++ b/packages/shared/src/virtualMachine.ts
@@ -1,46 +1,46 @@
 import type {CancelTimer, Clock} from './clock.js';
 import type {TimeSources} from './suspensionClock.js';
 
-/** Less is left of a timer only by rounding. */
-const LEAST_LEFT_MS = 0.001;
+/** A smaller remaining delay of a timer is a rounding error. */
+const MIN_DELAY_MS = 0.001;
 
-/** Step in which the boot clock of an operating system counts. */
-const BOOT_STEP_MS = 10;
+/** Resolution of the boot clock, as on Linux. */
+const BOOT_TICK_MS = 10;
 
 /**
- * The time sources of an instance that can be suspended, for tests and the measuring rig;
- * the world around it goes on by the clock that it is made from.
+ * Time sources of a simulated instance that can be suspended, for tests. The time outside
+ * the instance is that of the given clock, which goes on during a suspension.
  */
 export class VirtualMachine implements TimeSources {
-  /** Error of its time of day. */
+  /** How far the wall clock of the instance is wrong. */
   wallErrorMs = 0;
-  /** False where the boot clock cannot be read. */
+  /** False if the boot clock can't be read. */
   hasBootClock = true;
-  /** How fast the boot clock runs; 1 where it is the instance's own. */
-  bootRate = 1;
+  /** Speed of the boot clock relative to real time. */
+  bootClockRate = 1;
   private suspendedMs = 0;
   private suspendedAtMs: number | undefined;
-  private held: Array<() => void> = [];
+  private deferred: Array<() => void> = [];
 
-  constructor(private readonly world: Clock) {}
+  constructor(private readonly clock: Clock) {}
 
   get isSuspended(): boolean {
     return this.suspendedAtMs !== undefined;
   }
 
   steadyMs(): number {
-    const nowMs = this.suspendedAtMs ?? this.world.nowMs();
+    const nowMs = this.suspendedAtMs ?? this.clock.nowMs();
     return nowMs - this.suspendedMs;
   }
 
   wallMs(): number {
-    return this.world.wallMs() + this.wallErrorMs;
+    return this.clock.wallMs() + this.wallErrorMs;
   }
 
   bootMs(): number | undefined {
     if (!this.hasBootClock) return undefined;
-    const bootMs = this.world.nowMs() * this.bootRate;
-    return Math.floor(bootMs / BOOT_STEP_MS) * BOOT_STEP_MS;
+    const bootMs = this.clock.nowMs() * this.bootClockRate;
+    return Math.floor(bootMs / BOOT_TICK_MS) * BOOT_TICK_MS;
   }
 
   after(delayMs: number, task: () => void): CancelTimer {
@@ -50,11 +50,11 @@
     const run = (): void => {
       if (isCancelled) return;
       const leftMs = dueMs - this.steadyMs();
-      if (this.isSuspended) this.held.push(run);
-      else if (leftMs > LEAST_LEFT_MS) cancel = this.world.after(leftMs, run);
+      if (this.isSuspended) this.deferred.push(run);
+      else if (leftMs > MIN_DELAY_MS) cancel = this.clock.after(leftMs, run);
       else task();
     };
-    cancel = this.world.after(delayMs, run);
+    cancel = this.clock.after(delayMs, run);
     return () => {
       isCancelled = true;
       cancel();
@@ -62,22 +62,22 @@
   }
 
   suspend(): void {
-    this.suspendedAtMs ??= this.world.nowMs();
+    this.suspendedAtMs ??= this.clock.nowMs();
   }
 
-  /** Goes on; what waited for it goes on too, in the order in which it came. */
+  /** Ends the suspension and runs what was deferred, in the order of its arrival. */
   wake(): void {
     if (this.suspendedAtMs === undefined) return;
-    this.suspendedMs += this.world.nowMs() - this.suspendedAtMs;
+    this.suspendedMs += this.clock.nowMs() - this.suspendedAtMs;
     this.suspendedAtMs = undefined;
-    const {held} = this;
-    this.held = [];
-    for (const run of held) run();
+    const {deferred} = this;
+    this.deferred = [];
+    for (const run of deferred) run();
   }
 
-  /** Resolves at once, or when the instance is awake again: bytes wait on its sockets. */
+  /** Resolves at once, or after the suspension, as data that waits in a socket does. */
   awake(): Promise<void> {
     if (!this.isSuspended) return Promise.resolve();
-    return new Promise((resolve) => this.held.push(resolve));
+    return new Promise((resolve) => this.deferred.push(resolve));
   }
 }
