--- a/packages/telemetry/src/answerProbe.ts
+++ b/packages/telemetry/src/answerProbe.ts
@@ -1,15 +1,15 @@
 import type {ServerResponse} from 'node:http';
 import type {MetricsRegistry} from './metrics.js';
 
-/** What a process shows of itself over HTTP. */
+/** Readiness and metrics of the process that probes and scrapes ask for. */
 export interface ProbedProcess {
   readonly isReady: boolean;
   readonly metrics: MetricsRegistry;
 }
 
 /**
- * Answers `/livez`, `/readyz` and `/metrics`, the same at each process; false
- * for every other path, which is left to the caller.
+ * Answers `/livez`, `/readyz` and `/metrics`, for every kind of process. Returns false for
+ * any other path, which the caller must answer.
  */
 export function answerProbe(
   path: string,
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -1,17 +1,17 @@
 import winston from 'winston';
 
-/** Values that explain a log sentence. */
+/** Structured fields of a log line. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | undefined>
 >;
 
-/** Writes short sentences under the fixed prefix of one part. */
+/** Writes log lines whose message is a sentence with the prefix of a component. */
 export interface Logger {
   error(sentence: string, fields?: LogFields): void;
   warn(sentence: string, fields?: LogFields): void;
   info(sentence: string, fields?: LogFields): void;
   debug(sentence: string, fields?: LogFields): void;
-  /** A logger for a part of this process. */
+  /** Returns a logger with the prefix of another component of this process. */
   part(prefix: string): Logger;
 }
 
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -6,7 +6,7 @@
   Registry,
 } from 'prom-client';
 
-/** A counter, a gauge or a histogram with its label names. */
+/** Registers counters, gauges and histograms, given their label names. */
 export interface MetricsRegistry {
   counter(name: string, help: string, labels?: string[]): Counter;
   gauge(name: string, help: string, labels?: string[]): Gauge;
@@ -16,14 +16,14 @@
     buckets: number[],
     labels?: string[],
   ): Histogram;
-  /** The text form that Prometheus reads. */
+  /** All metrics in the Prometheus text format. */
   text(): Promise<string>;
 }
 
-/** Creates a registry; `withProcess` adds the metrics of the process itself. */
-export function createMetrics(withProcess: boolean): MetricsRegistry {
+/** Creates a registry; `includeProcessMetrics` adds the default metrics of a Node.js process. */
+export function createMetrics(includeProcessMetrics: boolean): MetricsRegistry {
   const registry = new Registry();
-  if (withProcess) collectDefaultMetrics({register: registry});
+  if (includeProcessMetrics) collectDefaultMetrics({register: registry});
   const registers = [registry];
   return {
     counter: (name, help, labelNames = []) =>
--- a/packages/telemetry/src/otlpTracer.ts
+++ b/packages/telemetry/src/otlpTracer.ts
@@ -15,7 +15,7 @@
 
 import type {Tracer, TracingSettings} from './tracer.js';
 
-/** Exports spans over OTLP in batches. */
+/** Creates a tracer that exports spans over OTLP in batches. */
 export function createOtlpTracer(
   settings: TracingSettings & {readonly tracesUrl: string},
 ): Tracer {
@@ -33,10 +33,16 @@
   return {
     startHop(name, traceparent) {
       const parent = parseTraceparent(traceparent);
-      const base = context.active();
-      const from =
-        parent === undefined ? base : trace.setSpanContext(base, parent);
-      const span = tracer.startSpan(name, {kind: SpanKind.SERVER}, from);
+      const activeContext = context.active();
+      const parentContext =
+        parent === undefined
+          ? activeContext
+          : trace.setSpanContext(activeContext, parent);
+      const span = tracer.startSpan(
+        name,
+        {kind: SpanKind.SERVER},
+        parentContext,
+      );
       return {
         traceparent: formatTraceparent(span.spanContext()),
         event: (eventName, fields) => span.addEvent(eventName, fields),
--- a/packages/telemetry/src/tracer.ts
+++ b/packages/telemetry/src/tracer.ts
@@ -1,22 +1,22 @@
-/** One hop of a request. */
+/** Span of a request in one process. */
 export interface HopSpan {
-  /** W3C trace context, to be passed to the next hop. */
+  /** W3C trace context to be passed to the next process. */
   readonly traceparent: string;
-  /** Records a typed decision, such as the choice of an endpoint. */
+  /** Records a decision with its details, such as the choice of an endpoint. */
   event(name: string, fields: Readonly<Record<string, string | number>>): void;
   end(outcome: 'ok' | 'failed', detail?: string): void;
 }
 
 export interface Tracer {
-  /** Starts a span under `traceparent`, or a new trace when it is empty. */
+  /** Starts a span with the parent `traceparent`, or a new trace if that is empty. */
   startHop(name: string, traceparent: string): HopSpan;
-  /** Sends what is still held back. */
+  /** Exports the remaining spans and stops. */
   shutdown(): Promise<void>;
 }
 
 export interface TracingSettings {
   readonly role: string;
   readonly instanceId: string;
-  /** OTLP endpoint; without one no span is made. */
+  /** OTLP endpoint; without one no spans are recorded. */
   readonly tracesUrl?: string;
 }
--- a/packages/telemetry/src/tracing.ts
+++ b/packages/telemetry/src/tracing.ts
@@ -1,8 +1,8 @@
 import type {Tracer, TracingSettings} from './tracer.js';
 
 /**
- * Exports spans over OTLP, or does nothing when no endpoint is set. The
- * exporter is loaded only when it is used.
+ * Creates a tracer that exports spans over OTLP, or one that does nothing if no endpoint is
+ * set. The exporter is only loaded when it is used.
  */
 export async function createTracer(settings: TracingSettings): Promise<Tracer> {
   const {tracesUrl} = settings;
@@ -11,7 +11,7 @@
   return createOtlpTracer({...settings, tracesUrl});
 }
 
-/** Makes no spans, but passes an incoming context on. */
+/** Records no spans, but passes on an incoming trace context. */
 export const silentTracer: Tracer = {
   startHop: (_name, traceparent) => ({
     traceparent,
