--- a/packages/config/src/configState.ts
+++ b/packages/config/src/configState.ts
@@ -3,13 +3,13 @@
 import {partSchemas} from './fleetConfig.js';
 import type {FleetConfig, Organisation} from './fleetConfig.js';
 
-/** Organisations are spread over this many parts, so a change stays small. */
-export const ORGANISATION_PARTS = 256;
+/** Organisations are sharded into this many parts, so that a change rewrites few of them. */
+export const ORGANISATION_SHARDS = 256;
 
-/** How many recent writes a head remembers, to settle lost answers. */
-export const REMEMBERED_WRITES = 32;
+/** Recent writes listed in a head, to find out whether a write without an answer was applied. */
+export const MAX_REMEMBERED_WRITES = 32;
 
-/** One applied write. */
+/** An applied write to the configuration. */
 export interface ConfigWrite {
   readonly id: string;
   readonly revision: number;
@@ -17,7 +17,7 @@
   readonly atWallMs: number;
 }
 
-/** The one mutable record of the configuration. */
+/** Root record of the configuration, the only one that is changed in place. */
 export interface ConfigHead {
   readonly revision: number;
   /** Part name to content hash. */
@@ -26,13 +26,13 @@
   readonly writes: readonly ConfigWrite[];
 }
 
-/** A part as checked values. */
+/** A parsed and validated part. */
 export type ParsedPart =
   | {readonly kind: 'services'; readonly value: FleetConfig['services']}
   | {readonly kind: 'organisations'; readonly value: Organisation[]}
   | {readonly kind: 'routes'; readonly value: FleetConfig['routes']};
 
-/** A head together with all its parts, by content hash. */
+/** A head with the contents of all its parts, by content hash. */
 export interface ConfigState {
   readonly head: ConfigHead;
   readonly contents: ReadonlyMap<string, string>;
@@ -40,37 +40,37 @@
   readonly config: FleetConfig;
 }
 
-/** Named parts of a configuration with their text and content hash. */
+/** A named part of a configuration with its text and content hash. */
 export interface ConfigPart {
   readonly name: string;
   readonly hash: string;
   readonly text: string;
 }
 
-/** Splits a configuration into parts that change independently. */
+/** Splits a configuration into parts that can change independently. */
 export function splitConfig(config: FleetConfig): ConfigPart[] {
   const parts = [
-    toPart('services', config.services),
-    toPart('routes', config.routes),
+    createPart('services', config.services),
+    createPart('routes', config.routes),
   ];
   const shards = new Map<number, Organisation[]>();
   for (const organisation of config.organisations) {
-    const shard = hash32(organisation.id) % ORGANISATION_PARTS;
+    const shard = hash32(organisation.id) % ORGANISATION_SHARDS;
     const members = shards.get(shard) ?? [];
     members.push(organisation);
     shards.set(shard, members);
   }
   for (const [shard, members] of shards) {
     members.sort((a, b) => (a.id < b.id ? -1 : 1));
-    parts.push(toPart(`organisations/${shard}`, members));
+    parts.push(createPart(`organisations/${shard}`, members));
   }
   return parts;
 }
 
 /**
- * Puts parts together again; throws when one is missing or does not match.
- * Parts that `known` has are taken as they are, so that a small change costs
- * little however large the configuration is.
+ * Builds a configuration from its parts; throws if one is missing, doesn't match its hash
+ * or is invalid. Parts that `known` contains aren't parsed again, so that the cost depends
+ * on the size of a change, not of the configuration.
  */
 export function joinConfig(
   head: ConfigHead,
@@ -96,7 +96,7 @@
         assertNever(part);
     }
   }
-  return {head, contents: keepNamed(head, contents), parts, config};
+  return {head, contents: selectReferenced(head, contents), parts, config};
 }
 
 function parsePart(
@@ -106,7 +106,7 @@
 ): ParsedPart {
   const text = contents.get(hash);
   if (text === undefined) throw new Error(`part ${name} is missing`);
-  if (contentHash(text) !== hash) throw new Error(`part ${name} is damaged`);
+  if (contentHash(text) !== hash) throw new Error(`part ${name} is corrupt`);
   const value: unknown = JSON.parse(text);
   if (name === 'services') {
     return {kind: name, value: partSchemas.services.parse(value)};
@@ -117,7 +117,7 @@
   return {kind: 'organisations', value: partSchemas.organisations.parse(value)};
 }
 
-/** Hashes of `head` that `contents` does not hold. */
+/** Part hashes of `head` that `contents` lacks. */
 export function missingParts(
   head: ConfigHead,
   contents: ReadonlyMap<string, string>,
@@ -134,17 +134,17 @@
   return [...names].filter((name) => before.parts[name] !== after.parts[name]);
 }
 
-/** SHA-256 of a text, in hex. */
+/** SHA-256 of a text in hexadecimal. */
 export function contentHash(text: string): string {
   return createHash('sha256').update(text).digest('hex');
 }
 
-function toPart(name: string, value: unknown): ConfigPart {
+function createPart(name: string, value: unknown): ConfigPart {
   const text = JSON.stringify(value);
   return {name, hash: contentHash(text), text};
 }
 
-function keepNamed(
+function selectReferenced(
   head: ConfigHead,
   contents: ReadonlyMap<string, string>,
 ): Map<string, string> {
--- a/packages/config/src/fleetConfig.ts
+++ b/packages/config/src/fleetConfig.ts
@@ -4,7 +4,7 @@
   message: 'use 1 to 63 of a-z, 0-9, ".", "_" and "-"',
 });
 
-/** How the memory of an engine is granted to waiting generations. */
+/** How an engine's memory is allocated to waiting generations. */
 export const AdmissionMode = {
   EXPECTED: 'expected',
   RESERVE_MAXIMUM: 'reserveMaximum',
@@ -18,7 +18,7 @@
   FIRST_IN_FIRST_OUT: 'firstInFirstOut',
 } as const;
 
-/** How an entry chooses among the endpoints of a service. */
+/** How an entry chooses an endpoint of a service. */
 export const RouteMode = {
   PREDICTED: 'predicted',
   TWO_CHOICES: 'twoChoices',
@@ -28,33 +28,33 @@
 
 const policySchema = z
   .strictObject({
-    /** How an engine's memory is granted; see design/admission.md. */
+    /** How an engine's memory is allocated to generations; see design/admission.md. */
     admission: z.enum(AdmissionMode).default(AdmissionMode.EXPECTED),
-    /** Order of the waiting generations. */
+    /** Order in which waiting generations are admitted. */
     queue: z.enum(QueueMode).default(QueueMode.LEAST_ATTAINED),
-    /** How an entry chooses among the endpoints. */
+    /** How an entry chooses an endpoint of the service. */
     route: z.enum(RouteMode).default(RouteMode.PREDICTED),
-    /** Highest accepted chance that an engine's memory overflows. */
+    /** Maximum accepted probability that an engine's memory overflows. */
     overflowChance: z.number().gt(0).lt(1).default(0.25),
-    /** A waiting generation gains one level of urgency per this time. */
+    /** Waiting time after which a generation gains one level of urgency. */
     ageingMs: z.number().int().positive().default(40_000),
-    /** Longest wait in a queue, unless the caller asks for less. */
+    /** Maximum wait in a queue, unless the caller sets a lower one. */
     maxQueueMs: z.number().int().positive().default(300_000),
   })
   .prefault({});
 
 const modelService = z.strictObject({
   kind: z.literal('model'),
-  /** Names that callers ask for. */
+  /** Model names that callers can request. */
   models: z.array(name).min(1),
-  /** Most output that a caller may ask for. */
+  /** Maximum number of output tokens that a caller can request. */
   maxTokensLimit: z.number().int().positive().default(32_768),
   policy: policySchema,
 });
 
 const plainService = z.strictObject({
   kind: z.literal('plain'),
-  /** Calls with these methods may be repeated freely. */
+  /** Methods whose calls may be retried without an idempotency key. */
   repeatableMethods: z
     .array(z.enum(['GET', 'HEAD', 'PUT', 'DELETE', 'POST']))
     .default(['GET', 'HEAD']),
@@ -62,22 +62,22 @@
 
 const organisation = z.strictObject({
   id: name,
-  /** SHA-256 of each API key, in hex: keys themselves are never stored. */
+  /** SHA-256 of each API key in hexadecimal; the keys themselves are never stored. */
   apiKeySha256: z.array(z.string().regex(/^[0-9a-f]{64}$/)).min(1),
-  /** 0 (first) to 9 (last). */
+  /** From 0 (highest priority) to 9 (lowest). */
   priority: z.number().int().min(0).max(9).default(5),
   limits: z
     .strictObject({
-      /** Generations at once, over all entries. */
+      /** Maximum concurrent generations, over all entries. */
       concurrent: z.number().int().positive().default(64),
-      /** Output tokens a minute, over all entries. */
+      /** Maximum output tokens per minute, over all entries. */
       tokensPerMinute: z.number().int().positive().default(600_000),
     })
     .prefault({}),
 });
 
 const route = z.strictObject({
-  /** Organisation ids; "*" stands for all. */
+  /** Organisation ids; "*" matches all. */
   organisations: z.array(z.union([z.literal('*'), name])).min(1),
   service: name,
 });
@@ -86,10 +86,10 @@
 const organisations = z.array(organisation);
 const routes = z.array(route);
 
-/** The parts that a configuration is kept in, each checked by itself. */
+/** Schemas of the parts in which a configuration is stored. */
 export const partSchemas = {services, organisations, routes};
 
-/** The operators' whole configuration, as written and as applied. */
+/** Schema of the whole configuration that operators edit. */
 export const fleetConfigSchema = z
   .strictObject({services, organisations, routes})
   .superRefine((config, context) => {
@@ -114,7 +114,7 @@
 export type Organisation = z.infer<typeof organisation>;
 export type PolicySettings = z.infer<typeof policySchema>;
 
-/** What a service does when nothing is set. */
+/** Policy of a service without settings of its own. */
 export const DEFAULT_POLICY: PolicySettings = policySchema.parse({});
 
 function addDuplicateIssues(
@@ -127,7 +127,7 @@
       context.addIssue({
         code: 'custom',
         path: ['organisations', index, 'id'],
-        message: `organisation "${id}" stands twice`,
+        message: `duplicate organisation "${id}"`,
       });
     }
     seen.add(id);
--- a/packages/config/src/index.ts
+++ b/packages/config/src/index.ts
@@ -3,7 +3,7 @@
   contentHash,
   joinConfig,
   missingParts,
-  REMEMBERED_WRITES,
+  MAX_REMEMBERED_WRITES,
   splitConfig,
 } from './configState.js';
 export type {
--- a/packages/config/src/parseDocument.ts
+++ b/packages/config/src/parseDocument.ts
@@ -2,7 +2,7 @@
 import type {Node, ParseError} from 'jsonc-parser';
 import type {z} from 'zod';
 
-/** One thing wrong in a document, with the place where it stands. */
+/** An error in a document, with its location. */
 export interface DocumentIssue {
   readonly line: number;
   /** Dotted path of the field; empty for the whole document. */
@@ -10,14 +10,14 @@
   readonly message: string;
 }
 
-/** The checked value, or all that is wrong. */
+/** The validated value, or all errors. */
 export type ParsedDocument<T> =
   | {readonly ok: true; readonly value: T}
   | {readonly ok: false; readonly issues: readonly DocumentIssue[]};
 
 /**
- * Parses JSON with comments and checks it against `schema`. Messages name the
- * line, the field and what is allowed; they never repeat the values found.
+ * Parses JSON with comments and validates it against `schema`. Errors name the line, the
+ * field and what is allowed, but never contain values of the document.
  */
 export function parseDocument<T>(
   text: string,
@@ -26,9 +26,9 @@
   const errors: ParseError[] = [];
   const tree = parseTree(text, errors, {allowTrailingComma: true});
   if (tree === undefined || errors.length > 0) {
-    return {ok: false, issues: toSyntaxIssues(text, errors)};
+    return {ok: false, issues: syntaxIssues(text, errors)};
   }
-  const result = schema.safeParse(toValue(tree));
+  const result = schema.safeParse(valueOfNode(tree));
   if (result.success) return {ok: true, value: result.data};
   const issues = result.error.issues.map((issue) => ({
     line: lineOfPath(text, tree, issue.path),
@@ -38,7 +38,7 @@
   return {ok: false, issues};
 }
 
-/** Writes issues as `FILE:LINE: FIELD: MESSAGE`, a line each. */
+/** Formats each issue as a line `FILE:LINE: FIELD: MESSAGE`. */
 export function formatIssues(
   file: string,
   issues: readonly DocumentIssue[],
@@ -50,7 +50,7 @@
     .join('\n');
 }
 
-function toSyntaxIssues(text: string, errors: ParseError[]): DocumentIssue[] {
+function syntaxIssues(text: string, errors: ParseError[]): DocumentIssue[] {
   if (errors.length === 0) {
     return [{line: 1, field: '', message: 'the document is empty'}];
   }
@@ -61,17 +61,17 @@
   }));
 }
 
-function toValue(node: Node): unknown {
+function valueOfNode(node: Node): unknown {
   switch (node.type) {
     case 'object': {
       const pairs = (node.children ?? []).map((property) => [
         String(property.children![0]!.value),
-        toValue(property.children![1]!),
+        valueOfNode(property.children![1]!),
       ]);
       return Object.fromEntries(pairs);
     }
     case 'array':
-      return (node.children ?? []).map(toValue);
+      return (node.children ?? []).map(valueOfNode);
     default:
       return node.value;
   }
--- a/packages/config/src/processSettings.ts
+++ b/packages/config/src/processSettings.ts
@@ -3,29 +3,29 @@
 const port = z.number().int().min(0).max(65_535);
 
 const common = {
-  /** Name of this instance; the same after a restart in place. */
+  /** Name of this instance; must not change when the process is restarted in place. */
   instanceId: z.string().min(1),
   /** Availability zone of this instance. */
   zone: z.string().min(1),
-  /** Address to listen on; entries reach sidecars by the list's address. */
+  /** Address to listen on; entries connect to a sidecar at its address in the membership list. */
   host: z.string().default('127.0.0.1'),
   platform: z.strictObject({
-    /** The platform's key-value service (etcd v3 API, JSON form). */
+    /** URL of the platform's key-value service (etcd v3 API as JSON over HTTP). */
     keyValueUrl: z.url(),
-    /** The platform's membership list, a JSON document. */
+    /** URL of the platform's membership list, a JSON document. */
     membershipUrl: z.url(),
-    /** Longest wait for an answer of the platform. */
+    /** Timeout of requests to the platform. */
     requestTimeoutMs: z.number().int().positive().default(2_000),
-    /** How often the membership list is read. */
+    /** Interval at which the membership list is read. */
     membershipPollMs: z.number().int().positive().default(2_000),
   }),
-  /** Shared by all processes of one deployment; at least 16 characters. */
+  /** Secret shared by all processes of a deployment; at least 16 characters. */
   linkKey: z.string().min(16),
-  /** Where spans are sent (OTLP over HTTP); none are made without it. */
+  /** URL to which spans are sent (OTLP over HTTP); without it none are recorded. */
   tracesUrl: z.url().optional(),
-  /** Least level that is logged, as JSON lines on standard error. */
+  /** Minimum level of log lines, written as JSON to standard error. */
   logLevel: z.enum(['error', 'warn', 'info', 'debug']).default('info'),
-  /** Longest time that a graceful shutdown waits for running requests. */
+  /** Maximum time that a graceful shutdown waits for running requests. */
   drainTimeoutMs: z.number().int().positive().default(600_000),
 };
 
@@ -36,17 +36,17 @@
   role: z.literal('entry'),
   /** Port to listen on. */
   port,
-  /** Largest body of a caller; larger ones are refused. */
+  /** Maximum size of a caller's request body; larger ones are refused. */
   maxBodyBytes: z.number().int().positive().default(1_048_576),
-  /** Least number of sidecars of one service that an entry links to. */
+  /** Minimum number of sidecars of each service to which an entry opens links. */
   linksPerService: z.number().int().positive().default(16),
-  /** Least number of entries that link to each sidecar. */
+  /** Minimum number of entries that open a link to each sidecar. */
   linksPerSidecar: z.number().int().positive().default(3),
-  /** How many entries hold a watch on the configuration. */
+  /** Number of entries that watch the configuration in the store. */
   configWatchers: z.number().int().positive().default(4),
-  /** Time from a failing /readyz to the end of accepting. */
+  /** Time from the first failing /readyz of a shutdown until draining begins. */
   balancerDelayMs: z.number().int().nonnegative().default(3_000),
-  /** Asked of operators as a bearer token; at least 16 characters. */
+  /** Bearer token that operators must send; at least 16 characters. */
   operatorKey: z.string().min(16),
 });
 
@@ -55,27 +55,27 @@
   ...common,
   role: z.literal('sidecar'),
   port,
-  /** Service of the endpoint, as the operators' configuration names it. */
+  /** Name of the service in the operators' configuration. */
   service: z.string().min(1),
   endpoint: z.strictObject({
-    /** A model engine, or a plain service. */
+    /** Whether the endpoint is a model engine or a plain service. */
     kind: z.enum(['engine', 'plain']),
-    /** Address of the endpoint. */
+    /** URL of the endpoint. */
     url: z.url(),
   }),
-  /** How long a generation without a reader goes on. */
+  /** How long a generation continues without a reader. */
   resumeGraceMs: z.number().int().positive().default(15_000),
-  /** An engine that sends nothing for this long has its generations ended. */
+  /** Time without data from an engine after which its generations are ended. */
   engineSilenceMs: z.number().int().positive().default(20_000),
-  /** How long the log of an ended generation is kept for a late reader. */
+  /** How long the log of an ended generation is kept so that a caller can resume it. */
   logRetentionMs: z.number().int().positive().default(60_000),
-  /** How far ahead the ownership of a slot reaches; see docs/design. */
+  /** How long in advance a sidecar owns its slots of keys; see docs/design. */
   slotGrantMs: z.number().int().positive().default(3_600_000),
-  /** How often slots are claimed and extended. */
+  /** Interval at which slots are claimed and renewed. */
   slotRoundMs: z.number().int().positive().default(3_000),
-  /** Largest lead of a caller's clock that is accepted in a key. */
+  /** Maximum time by which a caller's clock, as read from a key, may be ahead. */
   keySkewMs: z.number().int().nonnegative().default(2_000),
-  /** Records of keyed calls kept in memory. */
+  /** Maximum number of records of keyed calls kept in memory. */
   maxKeyRecords: z.number().int().positive().default(100_000),
 });
 
--- a/packages/protocol/src/checkMessage.ts
+++ b/packages/protocol/src/checkMessage.ts
@@ -2,24 +2,25 @@
 import type {Message, MessageType} from './messages.js';
 import {SidecarState} from './messages.js';
 
-type Check = (value: unknown) => boolean;
-type Shape = Readonly<Record<string, Check>>;
+type Validator = (value: unknown) => boolean;
+type FieldValidators = Readonly<Record<string, Validator>>;
 
-/** Longest text of a name, an id or a key in a message. */
-const MAX_NAME_LENGTH = 512;
+/** Limit for names, ids and keys in messages. */
+const MAX_SHORT_STRING_LENGTH = 512;
 
-const isText: Check = (value) => typeof value === 'string';
-const isName: Check = (value) =>
-  typeof value === 'string' && value.length <= MAX_NAME_LENGTH;
-const isBoolean: Check = (value) => typeof value === 'boolean';
-const isCount: Check = (value) =>
+const isString: Validator = (value) => typeof value === 'string';
+const isShortString: Validator = (value) =>
+  typeof value === 'string' && value.length <= MAX_SHORT_STRING_LENGTH;
+const isBoolean: Validator = (value) => typeof value === 'boolean';
+const isNonNegativeInteger: Validator = (value) =>
   Number.isSafeInteger(value) && (value as number) >= 0;
-const isAmount: Check = (value) =>
+const isNonNegativeNumber: Validator = (value) =>
   typeof value === 'number' && value >= 0 && Number.isFinite(value);
-const isBytes: Check = (value) => value instanceof Uint8Array;
-const isTexts: Check = (value) => Array.isArray(value) && value.every(isText);
+const isBytes: Validator = (value) => value instanceof Uint8Array;
+const isStringArray: Validator = (value) =>
+  Array.isArray(value) && value.every(isString);
 
-function hasShape(shape: Shape): Check {
+function hasFields(shape: FieldValidators): Validator {
   const checks = Object.entries(shape);
   return (value) => {
     if (typeof value !== 'object' || value === null) return false;
@@ -28,109 +29,114 @@
   };
 }
 
-const isOptionalAmount: Check = (value) => value == null || isAmount(value);
+const isOptionalNonNegativeNumber: Validator = (value) =>
+  value == null || isNonNegativeNumber(value);
 
-const isFailure = hasShape({
+const isFailure = hasFields({
   kind: isFailureKind,
   verdict: isVerdict,
-  detail: isText,
-  retryAfterMs: isOptionalAmount,
+  detail: isString,
+  retryAfterMs: isOptionalNonNegativeNumber,
 });
 
-const isGrant = hasShape({
-  slot: isCount,
-  fromWallMs: isCount,
-  untilWallMs: isCount,
+const isGrant = hasFields({
+  slot: isNonNegativeInteger,
+  fromWallMs: isNonNegativeInteger,
+  untilWallMs: isNonNegativeInteger,
 });
 
-const isLoad = hasShape({
+const isLoad = hasFields({
   state: (value) =>
     value === SidecarState.SERVING || value === SidecarState.DRAINING,
-  queued: isCount,
-  running: isCount,
-  backlogTokens: isAmount,
-  memoryShare: isAmount,
-  predictedWaitMs: isAmount,
-  tokenMs: isAmount,
-  maxBatch: isCount,
+  queued: isNonNegativeInteger,
+  running: isNonNegativeInteger,
+  backlogTokens: isNonNegativeNumber,
+  memoryShare: isNonNegativeNumber,
+  predictedWaitMs: isNonNegativeNumber,
+  tokenMs: isNonNegativeNumber,
+  maxBatch: isNonNegativeInteger,
 });
 
-const isNames: Check = (value) =>
+const isShortStringRecord: Validator = (value) =>
   typeof value === 'object' &&
   value !== null &&
-  Object.values(value).every(isName);
+  Object.values(value).every(isShortString);
 
-const isWrite = hasShape({
-  id: isName,
-  revision: isCount,
-  author: isName,
-  atWallMs: isAmount,
+const isWrite = hasFields({
+  id: isShortString,
+  revision: isNonNegativeInteger,
+  author: isShortString,
+  atWallMs: isNonNegativeNumber,
 });
 
-const SHAPES: Readonly<Record<MessageType, Shape>> = {
-  challenge: {version: isCount, nonce: isName},
+const MESSAGE_FIELDS: Readonly<Record<MessageType, FieldValidators>> = {
+  challenge: {version: isNonNegativeInteger, nonce: isShortString},
   hello: {
-    version: isCount,
-    instanceId: isName,
-    zone: isName,
-    nonce: isName,
-    proof: isName,
+    version: isNonNegativeInteger,
+    instanceId: isShortString,
+    zone: isShortString,
+    nonce: isShortString,
+    proof: isShortString,
   },
   welcome: {
-    instanceId: isName,
-    incarnation: isName,
-    service: isName,
-    zone: isName,
-    proof: isName,
+    instanceId: isShortString,
+    incarnation: isShortString,
+    service: isShortString,
+    zone: isShortString,
+    proof: isShortString,
   },
   submit: {
-    callId: isCount,
-    requestId: isName,
-    organisationId: isName,
-    priority: isCount,
-    model: isName,
-    prompt: isText,
-    promptTokens: isCount,
-    maxTokens: isCount,
-    credit: isCount,
-    maxQueueMs: isAmount,
-    traceparent: isName,
+    callId: isNonNegativeInteger,
+    requestId: isShortString,
+    organisationId: isShortString,
+    priority: isNonNegativeInteger,
+    model: isShortString,
+    prompt: isString,
+    promptTokens: isNonNegativeInteger,
+    maxTokens: isNonNegativeInteger,
+    credit: isNonNegativeInteger,
+    maxQueueMs: isNonNegativeNumber,
+    traceparent: isShortString,
   },
   resume: {
-    callId: isCount,
-    generationId: isName,
-    organisationId: isName,
-    fromOffset: isCount,
-    credit: isCount,
+    callId: isNonNegativeInteger,
+    generationId: isShortString,
+    organisationId: isShortString,
+    fromOffset: isNonNegativeInteger,
+    credit: isNonNegativeInteger,
   },
   call: {
-    callId: isCount,
-    requestId: isName,
-    organisationId: isName,
-    method: isName,
-    path: isText,
-    contentType: isName,
+    callId: isNonNegativeInteger,
+    requestId: isShortString,
+    organisationId: isShortString,
+    method: isShortString,
+    path: isString,
+    contentType: isShortString,
     body: isBytes,
-    key: isName,
-    traceparent: isName,
+    key: isShortString,
+    traceparent: isShortString,
+  },
+  credit: {callId: isNonNegativeInteger, count: isNonNegativeInteger},
+  cancel: {callId: isNonNegativeInteger, abandon: isBoolean},
+  ping: {sequence: isNonNegativeInteger, revision: isNonNegativeInteger},
+  pong: {sequence: isNonNegativeInteger, revision: isNonNegativeInteger},
+  accepted: {callId: isNonNegativeInteger, generationId: isShortString},
+  tokens: {
+    callId: isNonNegativeInteger,
+    offset: isNonNegativeInteger,
+    texts: isStringArray,
   },
-  credit: {callId: isCount, count: isCount},
-  cancel: {callId: isCount, abandon: isBoolean},
-  ping: {sequence: isCount, revision: isCount},
-  pong: {sequence: isCount, revision: isCount},
-  accepted: {callId: isCount, generationId: isName},
-  tokens: {callId: isCount, offset: isCount, texts: isTexts},
   done: {
-    callId: isCount,
-    offset: isCount,
-    finishReason: isName,
-    promptTokens: isCount,
+    callId: isNonNegativeInteger,
+    offset: isNonNegativeInteger,
+    finishReason: isShortString,
+    promptTokens: isNonNegativeInteger,
   },
-  failed: {callId: isCount, failure: isFailure},
+  failed: {callId: isNonNegativeInteger, failure: isFailure},
   result: {
-    callId: isCount,
-    status: isCount,
-    contentType: isName,
+    callId: isNonNegativeInteger,
+    status: isNonNegativeInteger,
+    contentType: isShortString,
     body: isBytes,
     isReplay: isBoolean,
   },
@@ -138,27 +144,30 @@
   slots: {
     grants: (value) => Array.isArray(value) && value.every(isGrant),
   },
-  drain: {reason: isName},
-  configOffer: {revision: isCount},
-  configRequest: {knownRevision: isCount},
+  drain: {reason: isShortString},
+  configOffer: {revision: isNonNegativeInteger},
+  configRequest: {knownRevision: isNonNegativeInteger},
   configTransfer: {
-    baseRevision: isCount,
-    revision: isCount,
-    parts: isNames,
-    removedParts: isTexts,
+    baseRevision: isNonNegativeInteger,
+    revision: isNonNegativeInteger,
+    parts: isShortStringRecord,
+    removedParts: isStringArray,
     writes: (value) => Array.isArray(value) && value.every(isWrite),
-    texts: isTexts,
+    texts: isStringArray,
   },
 };
 
-const CHECKS = new Map<unknown, Check>(
-  Object.entries(SHAPES).map(([type, shape]) => [type, hasShape(shape)]),
+const MESSAGE_VALIDATORS = new Map<unknown, Validator>(
+  Object.entries(MESSAGE_FIELDS).map(([type, shape]) => [
+    type,
+    hasFields(shape),
+  ]),
 );
 
-/** Checks a decoded frame; undefined when it is no message of this version. */
-export function toMessage(decoded: unknown): Message | undefined {
+/** Validates a decoded frame; undefined if it is not a message of this protocol version. */
+export function parseMessage(decoded: unknown): Message | undefined {
   if (typeof decoded !== 'object' || decoded === null) return undefined;
-  const check = CHECKS.get((decoded as {type?: unknown}).type);
+  const check = MESSAGE_VALIDATORS.get((decoded as {type?: unknown}).type);
   if (check === undefined || !check(decoded)) return undefined;
   return decoded as Message;
 }
--- a/packages/protocol/src/configCache.ts
+++ b/packages/protocol/src/configCache.ts
@@ -2,34 +2,37 @@
   contentHash,
   joinConfig,
   missingParts,
-  REMEMBERED_WRITES,
+  MAX_REMEMBERED_WRITES,
 } from '@lilacledge/config';
 import type {ConfigHead, ConfigState} from '@lilacledge/config';
 import type {Clock} from '@lilacledge/shared';
 import type {ConfigOffer, ConfigRequest, ConfigTransfer} from './messages.js';
 
-/** What a process does with a head or a transfer that it is shown. */
+/**
+ * Outcome of offering a configuration to this process. `incomplete`: a part is missing;
+ * `fork`: other contents under the active revision.
+ */
 export type AdoptResult = 'adopted' | 'known' | 'older' | 'incomplete' | 'fork';
 
-/** Heads kept to send changes in place of the whole. */
-const KEPT_HEADS = 16;
+/** Recent heads kept so that peers can be sent a delta instead of the whole configuration. */
+const MAX_KEPT_HEADS = 16;
 
-/** Many peers offer a change at once; one is asked, then another. */
-const REQUEST_LIMIT_MS = 1_000;
+/** Many peers offer a change at once: one is asked, and after this time another. */
+const REQUEST_WAIT_MS = 1_000;
 
 /**
- * The configuration in force at one process. Revisions only rise: a lower one
- * is never taken, whether it comes from the store or from a peer.
+ * The active configuration of one process. Its revision never decreases: a lower one
+ * is rejected, whether it comes from the store or from a peer.
  */
 export class ConfigCache {
   private state: ConfigState | undefined;
-  private readonly heads = new Map<number, ConfigHead>();
+  private readonly recentHeads = new Map<number, ConfigHead>();
   private readonly listeners = new Set<(state: ConfigState) => void>();
-  private requestedMs: number | undefined;
-  /** Revisions by which the store was last seen to be older. */
+  private requestedAtMs: number | undefined;
+  /** By how many revisions the store was behind this process when last read. */
   storeBehindBy = 0;
-  /** Other contents seen under the revision in force. */
-  forks = 0;
+  /** Number of configurations seen with the active revision but other contents. */
+  forkCount = 0;
 
   constructor(private readonly clock: Clock) {}
 
@@ -45,23 +48,23 @@
     this.listeners.add(listener);
   }
 
-  /** Takes a state read from the store. */
+  /** Applies a state read from the store. */
   adopt(state: ConfigState): AdoptResult {
-    const known = this.compare(state.head);
+    const known = this.compareToCurrent(state.head);
     if (known !== undefined) return known;
     this.state = state;
-    this.requestedMs = undefined;
-    this.keepHead(state.head);
+    this.requestedAtMs = undefined;
+    this.rememberHead(state.head);
     for (const listener of this.listeners) listener(state);
     return 'adopted';
   }
 
-  /** Takes a state sent by a peer. */
+  /** Applies a state sent by a peer. */
   adoptTransfer(transfer: ConfigTransfer): AdoptResult {
-    this.requestedMs = undefined;
-    const head = this.toHead(transfer);
+    this.requestedAtMs = undefined;
+    const head = this.headOfTransfer(transfer);
     if (head === undefined) return 'older';
-    const known = this.compare(head);
+    const known = this.compareToCurrent(head);
     if (known !== undefined) return known;
     const contents = new Map(this.state?.contents);
     for (const text of transfer.texts) contents.set(contentHash(text), text);
@@ -74,16 +77,16 @@
     if (revision < this.revision) {
       return {type: 'configOffer', revision: this.revision};
     }
-    if (revision === this.revision || this.isWaiting()) return undefined;
-    this.requestedMs = this.clock.nowMs();
+    if (revision === this.revision || this.isRequesting()) return undefined;
+    this.requestedAtMs = this.clock.nowMs();
     return {type: 'configRequest', knownRevision: this.revision};
   }
 
-  /** Answers a peer's request with what has changed since its revision. */
+  /** Answers a peer's request with the changes since its revision. */
   answerRequest(knownRevision: number): ConfigTransfer | undefined {
     const state = this.state;
     if (state === undefined || knownRevision >= this.revision) return undefined;
-    const base = this.heads.get(knownRevision);
+    const base = this.recentHeads.get(knownRevision);
     const {head} = state;
     const before = base?.parts ?? {};
     const parts = Object.fromEntries(
@@ -103,36 +106,39 @@
     };
   }
 
-  private isWaiting(): boolean {
-    const since = this.requestedMs;
-    return since !== undefined && this.clock.nowMs() - since < REQUEST_LIMIT_MS;
+  private isRequesting(): boolean {
+    const since = this.requestedAtMs;
+    return since !== undefined && this.clock.nowMs() - since < REQUEST_WAIT_MS;
   }
 
-  /** The head that a transfer leads to; undefined if its base is not ours. */
-  private toHead(transfer: ConfigTransfer): ConfigHead | undefined {
+  /** The head after applying a transfer; undefined if it builds on another revision than ours. */
+  private headOfTransfer(transfer: ConfigTransfer): ConfigHead | undefined {
     const {baseRevision, revision, writes} = transfer;
     if (baseRevision === 0) return {revision, parts: transfer.parts, writes};
     const base = this.state?.head;
     if (base?.revision !== baseRevision) return undefined;
     const parts = {...base.parts, ...transfer.parts};
     for (const name of transfer.removedParts) delete parts[name];
-    const allWrites = [...writes, ...base.writes].slice(0, REMEMBERED_WRITES);
+    const allWrites = [...writes, ...base.writes].slice(
+      0,
+      MAX_REMEMBERED_WRITES,
+    );
     return {revision, parts, writes: allWrites};
   }
 
-  private keepHead(head: ConfigHead): void {
-    this.heads.set(head.revision, head);
-    for (const revision of this.heads.keys()) {
-      if (this.heads.size <= KEPT_HEADS) return;
-      this.heads.delete(revision);
+  private rememberHead(head: ConfigHead): void {
+    this.recentHeads.set(head.revision, head);
+    for (const revision of this.recentHeads.keys()) {
+      if (this.recentHeads.size <= MAX_KEPT_HEADS) return;
+      this.recentHeads.delete(revision);
     }
   }
 
-  private compare(head: ConfigHead): AdoptResult | undefined {
+  private compareToCurrent(head: ConfigHead): AdoptResult | undefined {
     if (head.revision > this.revision) return undefined;
     if (head.revision < this.revision) return 'older';
     if (isSameWrite(head, this.state?.head)) return 'known';
-    this.forks++;
+    this.forkCount++;
     return 'fork';
   }
 }
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -2,12 +2,16 @@
 export {ConfigCache} from './configCache.js';
 export type {AdoptResult} from './configCache.js';
 export {greetEntry, greetSidecar} from './greeting.js';
-export type {EntryIdentity, Greeting, SidecarIdentity} from './greeting.js';
+export type {
+  EntryIdentity,
+  HandshakeResult,
+  SidecarIdentity,
+} from './greeting.js';
 export type {
   Link,
   LinkAddress,
   LinkDialer,
-  LinkEnd,
+  LinkEndReason,
   LinkTraffic,
 } from './link.js';
 export {LinkWay, MemoryNetwork} from './memoryLink.js';
--- a/packages/protocol/src/link.ts
+++ b/packages/protocol/src/link.ts
@@ -1,33 +1,33 @@
 import type {Message} from './messages.js';
 
-/** What has passed over a link so far. */
+/** Traffic counters of a link. */
 export interface LinkTraffic {
   sentMessages: number;
   sentBytes: number;
   receivedMessages: number;
   receivedBytes: number;
-  /** Part of the bytes sent that is not requests, tokens or answers. */
+  /** Bytes sent in messages that are neither a request nor part of an answer. */
   sentControlBytes: number;
 }
 
 /** Why a link ended. */
-export type LinkEnd =
+export type LinkEndReason =
   | {readonly kind: 'closed'; readonly detail: string}
   | {readonly kind: 'malformed'; readonly detail: string}
   | {readonly kind: 'unauthenticated'; readonly detail: string};
 
-/** An ordered, reliable exchange of messages with one peer process. */
+/** An ordered, reliable message connection to one peer process. */
 export interface Link {
   readonly isOpen: boolean;
   readonly traffic: LinkTraffic;
-  /** Bytes accepted by `send` that have not left this process. */
+  /** Bytes passed to `send` that are not yet written to the network. */
   readonly bufferedBytes: number;
   send(message: Message): void;
-  /** Messages until the link ends; one consumer only. */
+  /** Received messages, until the link ends; supports a single consumer. */
   receive(): AsyncIterable<Message>;
-  close(end: LinkEnd): void;
+  close(end: LinkEndReason): void;
   /** Resolves once, when the link has ended. */
-  readonly ended: Promise<LinkEnd>;
+  readonly ended: Promise<LinkEndReason>;
 }
 
 /** Opens links to sidecars. */
@@ -40,7 +40,7 @@
   readonly port: number;
 }
 
-/** Counters of a link that has carried nothing yet. */
+/** Traffic counters of a new link. */
 export function createTraffic(): LinkTraffic {
   return {
     sentMessages: 0,
--- a/packages/protocol/src/memoryLink.ts
+++ b/packages/protocol/src/memoryLink.ts
@@ -1,41 +1,40 @@
 import {AsyncQueue} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
-import {toMessage} from './checkMessage.js';
+import {parseMessage} from './checkMessage.js';
 import {createTraffic} from './link.js';
-import type {Link, LinkAddress, LinkDialer, LinkEnd} from './link.js';
+import type {Link, LinkAddress, LinkDialer, LinkEndReason} from './link.js';
 import type {Message} from './messages.js';
 
-interface MemoryEnd extends Link {
+interface MemoryLinkEnd extends Link {
   deliver(message: Message): void;
-  finish(end: LinkEnd): void;
+  finish(end: LinkEndReason): void;
 }
 
-interface OpenPair {
+interface LinkPair {
   readonly key: string;
-  readonly ends: readonly [MemoryEnd, MemoryEnd];
+  readonly ends: readonly [MemoryLinkEnd, MemoryLinkEnd];
 }
 
-/** The two ways of a link, as seen from the entry that opened it. */
+/** The two directions of a link; the entry opens it. */
 export const LinkWay = {THERE: 'there', BACK: 'back'} as const;
 export type LinkWay = (typeof LinkWay)[keyof typeof LinkWay];
 
-/** Messages held back on one way, to be let go in order. */
-interface HeldWay {
+/** Deliveries held back in the given directions, to be made in order later. */
+interface HeldMessages {
   readonly ways: readonly LinkWay[];
   readonly messages: Array<() => void>;
 }
 
 /**
- * Links inside one process, with a one-way delay by the clock. Faults are
- * brought about by `cut` and `stall`; order within a link is always kept, as
- * on a socket.
+ * In-process links for tests and simulations, with a one-way delay by the clock. `cut`,
+ * `stall` and `duplicate` inject faults; messages of a link stay in order, as on a socket.
  */
 export class MemoryNetwork implements LinkDialer {
   private readonly listeners = new Map<string, (link: Link) => void>();
-  private readonly stalled = new Map<string, HeldWay>();
+  private readonly stalled = new Map<string, HeldMessages>();
   private readonly duplicated = new Set<string>();
   private readonly refused = new Set<string>();
-  private pairs: OpenPair[] = [];
+  private pairs: LinkPair[] = [];
 
   constructor(
     private readonly clock: Clock,
@@ -46,19 +45,19 @@
     this.listeners.set(toKey(address), onLink);
   }
 
-  /** The process behind `address` is gone: its links end. */
+  /** Simulates the exit of the process at `address`: its links end. */
   remove(address: LinkAddress): void {
     this.listeners.delete(toKey(address));
     this.endLinks(address);
   }
 
-  /** Ends all links to `address`; none can be opened until `heal`. */
+  /** Ends all links to `address` and refuses new ones until `heal`. */
   cut(address: LinkAddress): void {
     this.refused.add(toKey(address));
     this.endLinks(address);
   }
 
-  /** Ends all links to `address` once. */
+  /** Ends all links to `address`; new ones can be opened. */
   endLinks(address: LinkAddress): void {
     const key = toKey(address);
     const ending = this.pairs.filter((pair) => pair.key === key);
@@ -70,7 +69,7 @@
     }
   }
 
-  /** Holds messages to and from `address` back, sockets open. */
+  /** Holds back messages to and from `address` until `heal`, with the links open. */
   stall(
     address: LinkAddress,
     ways: readonly LinkWay[] = [LinkWay.THERE, LinkWay.BACK],
@@ -78,11 +77,12 @@
     this.stalled.set(toKey(address), {ways, messages: []});
   }
 
-  /** Delivers each message from `address` twice, as a broken relay might. */
+  /** Delivers each message from `address` twice until `heal`, as a faulty relay might. */
   duplicate(address: LinkAddress): void {
     this.duplicated.add(toKey(address));
   }
 
+  /** Ends all faults at `address` and delivers what was held back. */
   heal(address: LinkAddress): void {
     const key = toKey(address);
     this.refused.delete(key);
@@ -98,26 +98,30 @@
     if (onLink === undefined || this.refused.has(key)) {
       throw new Error(`connection to ${key} refused`);
     }
-    const near = this.createEnd(key, LinkWay.THERE, () => far);
-    const far: MemoryEnd = this.createEnd(key, LinkWay.BACK, () => near);
-    this.pairs.push({key, ends: [near, far]});
-    onLink(far);
-    return near;
+    const entryEnd = this.createEnd(key, LinkWay.THERE, () => sidecarEnd);
+    const sidecarEnd: MemoryLinkEnd = this.createEnd(
+      key,
+      LinkWay.BACK,
+      () => entryEnd,
+    );
+    this.pairs.push({key, ends: [entryEnd, sidecarEnd]});
+    onLink(sidecarEnd);
+    return entryEnd;
   }
 
   private createEnd(
     key: string,
     way: LinkWay,
-    other: () => MemoryEnd,
-  ): MemoryEnd {
+    other: () => MemoryLinkEnd,
+  ): MemoryLinkEnd {
     const inbox = new AsyncQueue<Message>();
     const traffic = createTraffic();
     let isOpen = true;
-    let resolveEnded!: (end: LinkEnd) => void;
-    const ended = new Promise<LinkEnd>((resolve) => {
+    let resolveEnded!: (end: LinkEndReason) => void;
+    const ended = new Promise<LinkEndReason>((resolve) => {
       resolveEnded = resolve;
     });
-    const finish = (end: LinkEnd): void => {
+    const finish = (end: LinkEndReason): void => {
       if (!isOpen) return;
       isOpen = false;
       inbox.close();
@@ -139,19 +143,19 @@
         if (!isOpen) return;
         assertMessage(message);
         traffic.sentMessages++;
-        this.pass(key, way, () => other().deliver(message));
+        this.deliverDelayed(key, way, () => other().deliver(message));
         if (way !== LinkWay.BACK || !this.duplicated.has(key)) return;
-        this.pass(key, way, () => other().deliver(message));
+        this.deliverDelayed(key, way, () => other().deliver(message));
       },
       receive: () => inbox,
       close: (end) => {
         finish(end);
-        this.pass(key, way, () => other().finish(end));
+        this.deliverDelayed(key, way, () => other().finish(end));
       },
     };
   }
 
-  private pass(key: string, way: LinkWay, deliver: () => void): void {
+  private deliverDelayed(key: string, way: LinkWay, deliver: () => void): void {
     this.clock.after(this.delayMs, () => {
       const held = this.stalled.get(key);
       if (held?.ways.includes(way) === true) held.messages.push(deliver);
@@ -160,9 +164,9 @@
   }
 }
 
-/** Checks a message as the codec would; throws when it is malformed. */
+/** Validates a message as the codec does; throws if it is malformed. */
 function assertMessage(message: Message): void {
-  if (toMessage(message) === undefined) {
+  if (parseMessage(message) === undefined) {
     throw new Error(`malformed message of type ${message.type}`);
   }
 }
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -1,15 +1,15 @@
 import type {ConfigWrite} from '@lilacledge/config';
 import type {Failure} from '@lilacledge/shared';
 
-/** Version of the messages below; both ends of a link must agree on it. */
+/** Protocol version; both ends of a link must have the same. */
 export const PROTOCOL_VERSION = 1;
 
-/** Whether a sidecar takes new work. */
+/** Whether a sidecar accepts new requests. */
 export const SidecarState = {SERVING: 'serving', DRAINING: 'draining'} as const;
 export type SidecarState = (typeof SidecarState)[keyof typeof SidecarState];
 
 /**
- * A sidecar's ownership of the keys of one slot: those minted in
+ * A sidecar's ownership of the keys of one slot that were minted in
  * [fromWallMs, untilWallMs).
  */
 export interface SlotGrant {
@@ -18,31 +18,31 @@
   readonly untilWallMs: number;
 }
 
-/** A sidecar's account of its load; sent on change, at a bounded rate. */
+/** Load of a sidecar; sent on change, at a limited rate. */
 export interface LoadReport {
   readonly state: SidecarState;
   readonly queued: number;
   readonly running: number;
-  /** Tokens still expected of all that waits and runs. */
+  /** Expected remaining tokens of all queued and running requests. */
   readonly backlogTokens: number;
   /** Share of the engine's token memory in use, 0 to 1. */
   readonly memoryShare: number;
-  /** Predicted wait before a new short request is admitted. */
+  /** Predicted wait until a new short request is admitted. */
   readonly predictedWaitMs: number;
-  /** Measured time of one output token. */
+  /** Measured time per output token. */
   readonly tokenMs: number;
-  /** Generations that the engine runs at once, at most. */
+  /** Maximum number of generations that the engine runs at once. */
   readonly maxBatch: number;
 }
 
-/** First message of a link, from the sidecar. */
+/** First message of a link: the sidecar's nonce. */
 export interface Challenge {
   readonly type: 'challenge';
   readonly version: number;
   readonly nonce: string;
 }
 
-/** The entry's answer to a challenge. */
+/** The entry's reply to a challenge: its identity and proof of the shared key. */
 export interface Hello {
   readonly type: 'hello';
   readonly version: number;
@@ -52,7 +52,7 @@
   readonly proof: string;
 }
 
-/** The sidecar's answer to a greeting; the link carries requests after it. */
+/** The sidecar's reply to a hello; it ends the handshake, and requests may follow. */
 export interface Welcome {
   readonly type: 'welcome';
   readonly instanceId: string;
@@ -62,7 +62,7 @@
   readonly proof: string;
 }
 
-/** Asks for a new generation. */
+/** Starts a generation. */
 export interface Submit {
   readonly type: 'submit';
   readonly callId: number;
@@ -73,14 +73,14 @@
   readonly prompt: string;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** Events that the sidecar may send before it is given more credit. */
+  /** Events that the sidecar may send before it receives more credit. */
   readonly credit: number;
-  /** Longest wait that the caller accepts before the first token. */
+  /** Maximum time to the first token that the caller accepts. */
   readonly maxQueueMs: number;
   readonly traceparent: string;
 }
 
-/** Asks for the rest of a generation that is logged at this sidecar. */
+/** Requests the rest of a generation whose log this sidecar keeps. */
 export interface Resume {
   readonly type: 'resume';
   readonly callId: number;
@@ -90,7 +90,7 @@
   readonly credit: number;
 }
 
-/** Asks for one call of a plain service. */
+/** Makes one call of a plain service. */
 export interface Call {
   readonly type: 'call';
   readonly callId: number;
@@ -100,47 +100,50 @@
   readonly path: string;
   readonly contentType: string;
   readonly body: Uint8Array;
-  /** Empty for a call that may be repeated. */
+  /** Idempotency key; empty for a call that may be repeated. */
   readonly key: string;
   readonly traceparent: string;
 }
 
-/** Lets the sidecar send `count` more events of a stream. */
+/** Allows the sidecar to send `count` more events of a stream. */
 export interface Credit {
   readonly type: 'credit';
   readonly callId: number;
   readonly count: number;
 }
 
-/** The reader of a stream is gone; `abandon` ends the generation at once. */
+/**
+ * The reader of a stream has disconnected. `abandon` ends the generation at once,
+ * without waiting for the reader to resume.
+ */
 export interface Cancel {
   readonly type: 'cancel';
   readonly callId: number;
   readonly abandon: boolean;
 }
 
-/** Heartbeat of the entry. */
+/** Heartbeat from the entry; `revision` is that of its active configuration. */
 export interface Ping {
   readonly type: 'ping';
   readonly sequence: number;
   readonly revision: number;
 }
 
-/** The sidecar's answer to a heartbeat. */
+/** The sidecar's reply to a heartbeat; `revision` is that of its active configuration. */
 export interface Pong {
   readonly type: 'pong';
   readonly sequence: number;
   readonly revision: number;
 }
 
-/** The generation is logged under this id and can be resumed by it. */
+/** The generation is logged under this id and can be resumed with it. */
 export interface Accepted {
   readonly type: 'accepted';
   readonly callId: number;
   readonly generationId: string;
 }
 
-/** Consecutive tokens of a generation; `offset` is that of the first. */
+/** Consecutive tokens of a generation; `offset` is the index of the first. */
 export interface Tokens {
   readonly type: 'tokens';
   readonly callId: number;
@@ -157,24 +160,25 @@
   readonly promptTokens: number;
 }
 
-/** The call is over without its answer. */
+/** The call has ended without an answer. */
 export interface Failed {
   readonly type: 'failed';
   readonly callId: number;
   readonly failure: Failure;
 }
 
-/** The plain service's answer. */
+/** The answer of a plain service. */
 export interface Result {
   readonly type: 'result';
   readonly callId: number;
   readonly status: number;
   readonly contentType: string;
   readonly body: Uint8Array;
-  /** True when the answer comes from the record of an earlier run. */
+  /** True if the answer was recorded in an earlier call with the same key. */
   readonly isReplay: boolean;
 }
 
+/** The current load of a sidecar. */
 export interface Report {
   readonly type: 'report';
   readonly load: LoadReport;
@@ -186,34 +190,34 @@
   readonly grants: readonly SlotGrant[];
 }
 
-/** The sender knows this revision of the configuration. */
+/** Offers the sender's active configuration revision. */
 export interface ConfigOffer {
   readonly type: 'configOffer';
   readonly revision: number;
 }
 
-/** The sender wants the newest configuration and says what it has. */
+/** Requests the newest configuration, given the revision that the sender has. */
 export interface ConfigRequest {
   readonly type: 'configRequest';
-  /** 0 for none. */
+  /** 0 if the sender has none. */
   readonly knownRevision: number;
 }
 
-/** The newest configuration, as changes to `baseRevision`; 0 for the whole. */
+/** The newest configuration, as a delta to `baseRevision`; whole if that is 0. */
 export interface ConfigTransfer {
   readonly type: 'configTransfer';
   readonly baseRevision: number;
   readonly revision: number;
-  /** Part names to content hashes, of parts that differ from the base. */
+  /** Part name to content hash, for each part that differs from the base. */
   readonly parts: Readonly<Record<string, string>>;
   readonly removedParts: readonly string[];
   /** Writes since the base, newest first. */
   readonly writes: readonly ConfigWrite[];
-  /** Contents of `parts`. */
+  /** Contents of the parts in `parts`. */
   readonly texts: readonly string[];
 }
 
-/** Tells a sidecar to drain; sent for an operator. */
+/** Makes a sidecar drain, on behalf of an operator. */
 export interface Drain {
   readonly type: 'drain';
   readonly reason: string;
--- a/packages/protocol/src/resumeToken.ts
+++ b/packages/protocol/src/resumeToken.ts
@@ -1,9 +1,9 @@
 import {createHmac, timingSafeEqual} from 'node:crypto';
 
-/** What a caller's `Last-Event-ID` stands for. */
+/** Decoded `Last-Event-ID` of a caller: where to resume which generation. */
 export interface ResumePoint {
   readonly organisationId: string;
-  /** Instance that logs the generation. */
+  /** Instance that keeps the log of the generation. */
   readonly instanceId: string;
   readonly generationId: string;
   /** Number of tokens that the caller has received. */
@@ -13,8 +13,8 @@
 const TAG_BYTES = 12;
 
 /**
- * The keyed part of the event ids of one stream. The offset is appended in the
- * clear: changing it only moves the caller within its own generation.
+ * The authenticated part that all event ids of a stream share. The offset that follows
+ * it is not authenticated: changing it only moves the caller within its own generation.
  */
 export function createStreamTag(
   key: string,
@@ -22,15 +22,15 @@
 ): string {
   const fields = [point.organisationId, point.instanceId, point.generationId];
   const payload = Buffer.from(JSON.stringify(fields)).toString('base64url');
-  return `${payload}.${sign(key, payload).toString('base64url')}`;
+  return `${payload}.${computeTag(key, payload).toString('base64url')}`;
 }
 
-/** Builds the id of the event that brings a caller to `offset` tokens. */
+/** Formats the id of the event after which a caller has received `offset` tokens. */
 export function toEventId(streamTag: string, offset: number): string {
   return `${streamTag}.${offset}`;
 }
 
-/** Reads an event id; undefined when it is forged or damaged. */
+/** Parses an event id; undefined if it is forged or malformed. */
 export function parseEventId(
   key: string,
   eventId: string,
@@ -40,7 +40,7 @@
     return undefined;
   }
   if (offset === undefined || !/^\d{1,9}$/.test(offset)) return undefined;
-  const expected = sign(key, payload);
+  const expected = computeTag(key, payload);
   const actual = Buffer.from(tag, 'base64url');
   if (actual.length !== TAG_BYTES || !timingSafeEqual(expected, actual)) {
     return undefined;
@@ -57,7 +57,7 @@
   };
 }
 
-function sign(key: string, payload: string): Buffer {
+function computeTag(key: string, payload: string): Buffer {
   const mac = createHmac('sha256', key).update(`resume|${payload}`);
   return mac.digest().subarray(0, TAG_BYTES);
 }
--- a/packages/protocol/src/wsLink.ts
+++ b/packages/protocol/src/wsLink.ts
@@ -5,17 +5,17 @@
 import type {RawData} from 'ws';
 import {decodeMessage, encodeMessage} from './codec.js';
 import {createTraffic, isControlMessage} from './link.js';
-import type {Link, LinkAddress, LinkDialer, LinkEnd} from './link.js';
+import type {Link, LinkAddress, LinkDialer, LinkEndReason} from './link.js';
 import type {Message} from './messages.js';
 
-/** Largest frame that either side takes. */
+/** Maximum frame size that either side accepts. */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-/** Path of the link on a sidecar's HTTP port. */
+/** Path of the WebSocket on a sidecar's HTTP port. */
 export const LINK_PATH = '/link';
 
-const CLOSE_NORMAL = 1000;
-const CLOSE_POLICY = 1008;
+const CLOSE_CODE_NORMAL = 1000;
+const CLOSE_CODE_POLICY_VIOLATION = 1008;
 
 const SOCKET_OPTIONS = {
   maxPayload: MAX_FRAME_BYTES,
@@ -31,7 +31,7 @@
         ...SOCKET_OPTIONS,
         handshakeTimeout: handshakeTimeoutMs,
       });
-      const link = toLink(socket);
+      const link = createLink(socket);
       return new Promise((resolve, reject) => {
         socket.once('open', () => resolve(link));
         socket.once('error', reject);
@@ -40,7 +40,7 @@
   };
 }
 
-/** Takes links on the upgrade requests of an HTTP server. */
+/** Accepts links on WebSocket upgrade requests of an HTTP server. */
 export function acceptWsLinks(
   server: Server,
   onLink: (link: Link) => void,
@@ -54,32 +54,35 @@
         return;
       }
       sockets.handleUpgrade(request, socket, head, (webSocket) => {
-        onLink(toLink(webSocket));
+        onLink(createLink(webSocket));
       });
     },
   );
 }
 
-function toLink(socket: WebSocket): Link {
+function createLink(socket: WebSocket): Link {
   const inbox = new AsyncQueue<Message>();
   const traffic = createTraffic();
-  let end: LinkEnd | undefined;
-  let resolveEnded!: (end: LinkEnd) => void;
-  const ended = new Promise<LinkEnd>((resolve) => {
+  let end: LinkEndReason | undefined;
+  let resolveEnded!: (end: LinkEndReason) => void;
+  const ended = new Promise<LinkEndReason>((resolve) => {
     resolveEnded = resolve;
   });
 
-  function finish(reason: LinkEnd): void {
+  function finish(reason: LinkEndReason): void {
     if (end !== undefined) return;
     end = reason;
     inbox.close();
     resolveEnded(reason);
   }
 
-  function close(reason: LinkEnd): void {
-    const code = reason.kind === 'closed' ? CLOSE_NORMAL : CLOSE_POLICY;
+  function close(reason: LinkEndReason): void {
+    const code =
+      reason.kind === 'closed'
+        ? CLOSE_CODE_NORMAL
+        : CLOSE_CODE_POLICY_VIOLATION;
     finish(reason);
-    // A peer that has stopped reading would never answer a close handshake.
+    // A peer that has stopped reading never answers the close handshake: terminate after 1 s.
     if (socket.readyState === WebSocket.OPEN) socket.close(code, reason.kind);
     setTimeout(() => socket.terminate(), 1_000).unref();
   }
--- a/packages/store/src/__tests__/httpMembership.test.ts
+++ b/packages/store/src/__tests__/httpMembership.test.ts
@@ -13,7 +13,7 @@
   leaving: false,
 };
 
-describe('the membership list over HTTP', () => {
+describe('createHttpMembership', () => {
   let etag = '"1"';
   let members: unknown[] = [MEMBER];
   const statuses: number[] = [];
@@ -36,14 +36,14 @@
     server.close();
   });
 
-  function list() {
+  function createMembership() {
     const {port} = server.address() as AddressInfo;
     const url = `http://127.0.0.1:${port}/members`;
     return createHttpMembership({url, requestTimeoutMs: 1_000});
   }
 
-  it('is not sent again while it has not changed', async () => {
-    const membership = list();
+  it('does not fetch an unchanged list again', async () => {
+    const membership = createMembership();
     expect(await membership.read()).toEqual([MEMBER]);
     expect(await membership.read()).toEqual([MEMBER]);
     etag = '"2"';
@@ -52,9 +52,9 @@
     expect(statuses).toEqual([200, 304, 200]);
   });
 
-  it('is refused when a row is malformed', async () => {
+  it('rejects a list with a malformed row', async () => {
     etag = '"3"';
     members = [{...MEMBER, port: 'x'}];
-    await expect(list().read()).rejects.toThrow();
+    await expect(createMembership().read()).rejects.toThrow();
   });
 });
--- a/packages/store/src/configStore.ts
+++ b/packages/store/src/configStore.ts
@@ -2,7 +2,7 @@
   changedParts,
   joinConfig,
   missingParts,
-  REMEMBERED_WRITES,
+  MAX_REMEMBERED_WRITES,
   splitConfig,
 } from '@lilacledge/config';
 import type {
@@ -19,17 +19,20 @@
 const PARTS_PREFIX = 'lilacledge/config/parts/';
 const REVISIONS_PREFIX = 'lilacledge/config/revisions/';
 
-/** A change that an operator wants applied. */
+/** A change of the configuration, submitted by an operator. */
 export interface ConfigChange {
-  /** Chosen by the operator's side; asking again with it is idempotent. */
+  /** Chosen by the operator's client; a retry with the same id is idempotent. */
   readonly writeId: string;
   readonly author: string;
-  /** The revision that the operator has read; 0 for the first. */
+  /** The revision that the change is based on; 0 if there is none yet. */
   readonly baseRevision: number;
   readonly config: FleetConfig;
 }
 
-/** What became of a change. */
+/**
+ * Outcome of a change. `unknown`: it may take effect; `storeBehind`: the store has an older
+ * revision than this process.
+ */
 export type ApplyResult =
   | {readonly outcome: 'applied'; readonly revision: number}
   | {
@@ -41,25 +44,27 @@
   | {readonly outcome: 'unknown'; readonly detail: string}
   | {readonly outcome: 'storeBehind'; readonly storeRevision: number};
 
-/** Reads and writes the operators' configuration in the platform's store. */
+/** Reads and writes the operators' configuration in the platform's key-value store. */
 export interface ConfigStore {
   readHead(): Promise<ConfigHead | undefined>;
-  /** Reads a whole state; parts found in `known` are not read again. */
+  /** Reads the state of a head; parts that `known` contains are not read again. */
   readState(
     head: ConfigHead,
     known: ConfigState | undefined,
   ): Promise<ConfigState>;
   readRevision(revision: number): Promise<ConfigHead | undefined>;
+  /** Applies a change, unless the store is older than `knownRevision`. */
   apply(change: ConfigChange, knownRevision: number): Promise<ApplyResult>;
   /**
-   * Writes a state over a store that came back older, under the next revision,
-   * so that no process ever sees a revision fall.
+   * Overwrites a store that was restored to an older revision with `state`, under the
+   * revision after that of `state`, so that no process sees the revision decrease.
    */
   restore(
     state: ConfigState,
     writeId: string,
     author: string,
   ): Promise<ApplyResult>;
+  /** Yields each new head; ends or throws when the watch breaks. */
   watchHead(signal: AbortSignal): AsyncIterable<ConfigHead>;
 }
 
@@ -70,12 +75,12 @@
   return {
     async readHead() {
       const stored = await store.get(CONFIG_HEAD_KEY);
-      return stored === undefined ? undefined : toHead(stored);
+      return stored === undefined ? undefined : parseHead(stored);
     },
     readState: (head, known) => readState(store, head, known),
     async readRevision(revision) {
       const stored = await store.get(REVISIONS_PREFIX + revision);
-      return stored === undefined ? undefined : toHead(stored);
+      return stored === undefined ? undefined : parseHead(stored);
     },
     apply: (change, knownRevision) =>
       apply(store, clock, change, knownRevision),
@@ -83,7 +88,7 @@
       restore(store, clock, state, writeId, author),
     async *watchHead(signal) {
       for await (const stored of store.watch(CONFIG_HEAD_KEY, signal)) {
-        yield toHead(stored);
+        yield parseHead(stored);
       }
     },
   };
@@ -103,9 +108,9 @@
 }
 
 /**
- * Writes parts first and the head last, so that a half-done change is never
- * seen. A lost answer to the last step is settled by reading the head: the
- * write id stands there if and only if the change took effect.
+ * Writes the parts first and the head last, so that no reader sees an incomplete change.
+ * If the answer to the last write is lost, the head is read: it lists the write id if and
+ * only if the change took effect.
  */
 async function apply(
   store: KeyValueStore,
@@ -117,8 +122,8 @@
   let stored: StoredValue | undefined;
   try {
     stored = await store.get(CONFIG_HEAD_KEY);
-    const settled = settle(stored, change, parts, knownRevision);
-    if (settled !== undefined) return settled;
+    const earlyResult = resolveFromHead(stored, change, parts, knownRevision);
+    if (earlyResult !== undefined) return earlyResult;
     await writeParts(store, parts, stored);
   } catch (error) {
     return {outcome: 'notApplied', detail: String(error)};
@@ -142,7 +147,7 @@
   let stored: StoredValue | undefined;
   try {
     stored = await store.get(CONFIG_HEAD_KEY);
-    const storeRevision = stored === undefined ? 0 : toHead(stored).revision;
+    const storeRevision = stored === undefined ? 0 : parseHead(stored).revision;
     if (storeRevision >= state.head.revision) {
       return {outcome: 'notApplied', detail: 'the store is not behind'};
     }
@@ -165,13 +170,13 @@
   }
 }
 
-function settle(
+function resolveFromHead(
   stored: StoredValue | undefined,
   change: ConfigChange,
   parts: readonly ConfigPart[],
   knownRevision: number,
 ): ApplyResult | undefined {
-  const head = stored === undefined ? EMPTY_HEAD : toHead(stored);
+  const head = stored === undefined ? EMPTY_HEAD : parseHead(stored);
   const earlier = head.writes.find((write) => write.id === change.writeId);
   if (earlier !== undefined) {
     return {outcome: 'applied', revision: earlier.revision};
@@ -180,7 +185,7 @@
     return {outcome: 'storeBehind', storeRevision: head.revision};
   }
   if (head.revision !== change.baseRevision) {
-    const wanted = {...head, parts: toPartHashes(parts)};
+    const wanted = {...head, parts: partHashes(parts)};
     return {outcome: 'conflict', head, changed: changedParts(wanted, head)};
   }
   return undefined;
@@ -191,7 +196,7 @@
   parts: readonly ConfigPart[],
   stored: StoredValue | undefined,
 ): Promise<void> {
-  const present = stored === undefined ? {} : toHead(stored).parts;
+  const present = stored === undefined ? {} : parseHead(stored).parts;
   const hashes = new Set(Object.values(present));
   for (const part of parts) {
     if (hashes.has(part.hash)) continue;
@@ -224,7 +229,7 @@
   }
   const current = await store.get(CONFIG_HEAD_KEY);
   return (
-    settle(current, change, parts, knownRevision) ?? {
+    resolveFromHead(current, change, parts, knownRevision) ?? {
       outcome: 'notApplied',
       detail: 'the head changed and changed back; ask again',
     }
@@ -241,12 +246,12 @@
   }
   try {
     const stored = await store.get(CONFIG_HEAD_KEY);
-    const head = stored === undefined ? EMPTY_HEAD : toHead(stored);
+    const head = stored === undefined ? EMPTY_HEAD : parseHead(stored);
     const write = head.writes.find((entry) => entry.id === change.writeId);
     if (write !== undefined) {
       return {outcome: 'applied', revision: write.revision};
     }
-    // The write may still be on its way, so its absence proves nothing.
+    // The write may still arrive at the store, so its absence proves nothing.
     return {outcome: 'unknown', detail: 'not seen in the store so far'};
   } catch (readError) {
     return {outcome: 'unknown', detail: String(readError)};
@@ -261,7 +266,7 @@
   parts: readonly ConfigPart[],
   atWallMs: number,
 ): ConfigHead {
-  const before = stored === undefined ? EMPTY_HEAD : toHead(stored);
+  const before = stored === undefined ? EMPTY_HEAD : parseHead(stored);
   const revision = before.revision + 1;
   const write = {
     id: change.writeId,
@@ -271,15 +276,15 @@
   };
   return {
     revision,
-    parts: toPartHashes(parts),
-    writes: [write, ...before.writes].slice(0, REMEMBERED_WRITES),
+    parts: partHashes(parts),
+    writes: [write, ...before.writes].slice(0, MAX_REMEMBERED_WRITES),
   };
 }
 
-function toPartHashes(parts: readonly ConfigPart[]): Record<string, string> {
+function partHashes(parts: readonly ConfigPart[]): Record<string, string> {
   return Object.fromEntries(parts.map((part) => [part.name, part.hash]));
 }
 
-function toHead(stored: {readonly value: string}): ConfigHead {
+function parseHead(stored: {readonly value: string}): ConfigHead {
   return JSON.parse(stored.value) as ConfigHead;
 }
--- a/packages/store/src/etcdStore.ts
+++ b/packages/store/src/etcdStore.ts
@@ -40,8 +40,8 @@
 }
 
 /**
- * Speaks the published JSON form of the etcd v3 API (`/v3/kv/range`, `/v3/kv/txn`,
- * `/v3/lease/*`, `/v3/watch`): keys and values are base64, numbers are strings.
+ * A client of the etcd v3 API in its JSON form (`/v3/kv/range`, `/v3/kv/txn`, `/v3/lease/*`,
+ * `/v3/watch`), where keys and values are base64 and 64-bit numbers are strings.
  */
 export function createEtcdStore(settings: EtcdStoreSettings): KeyValueStore {
   const call = <T>(path: string, body: unknown, isWrite: boolean): Promise<T> =>
@@ -50,13 +50,16 @@
     async get(key) {
       const range = await call<WireRange>(
         '/v3/kv/range',
-        {key: encode(key)},
+        {key: encodeBase64(key)},
         false,
       );
       return range.kvs?.map(toStoredValue)[0];
     },
     async list(prefix) {
-      const body = {key: encode(prefix), range_end: encode(prefixEnd(prefix))};
+      const body = {
+        key: encodeBase64(prefix),
+        range_end: encodeBase64(prefixEnd(prefix)),
+      };
       const range = await call<WireRange>('/v3/kv/range', body, false);
       return (range.kvs ?? []).map(toStoredValue);
     },
@@ -74,12 +77,12 @@
     },
     async keepLeaseAlive(leaseId) {
       const body = {ID: leaseId};
-      const kept = await call<{result?: {TTL?: string}}>(
+      const renewal = await call<{result?: {TTL?: string}}>(
         '/v3/lease/keepalive',
         body,
         true,
       );
-      return Number(kept.result?.TTL ?? 0) * 1000;
+      return Number(renewal.result?.TTL ?? 0) * 1000;
     },
     async revokeLease(leaseId) {
       await call('/v3/lease/revoke', {ID: leaseId}, true);
@@ -110,7 +113,7 @@
     throw toStoreError(error, isWrite);
   }
   if (response.statusCode !== 200) {
-    // A refusal by status is an answer: the service did not apply the call.
+    // An error status means that the service has not applied the call.
     throw new StoreError('unavailable', `status ${response.statusCode}`);
   }
   return JSON.parse(text) as T;
@@ -118,9 +121,9 @@
 
 function toStoreError(error: unknown, isWrite: boolean): StoreError {
   const code = (error as {code?: string}).code ?? '';
-  const isUnsent =
+  const wasNotSent =
     code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
-  const kind = isWrite && !isUnsent ? 'unknown' : 'unavailable';
+  const kind = isWrite && !wasNotSent ? 'unknown' : 'unavailable';
   return new StoreError(kind, code || String(error));
 }
 
@@ -132,7 +135,7 @@
   const response = await request(`${settings.url}/v3/watch`, {
     method: 'POST',
     headers: {'content-type': 'application/json'},
-    body: JSON.stringify({create_request: {key: encode(key)}}),
+    body: JSON.stringify({create_request: {key: encodeBase64(key)}}),
     headersTimeout: settings.requestTimeoutMs,
     bodyTimeout: 0,
     signal,
@@ -143,12 +146,12 @@
     const lines = buffered.split('\n');
     buffered = lines.pop()!;
     for (const line of lines) {
-      if (line.trim() !== '') yield* toWatchValues(line);
+      if (line.trim() !== '') yield* parseWatchLine(line);
     }
   }
 }
 
-function toWatchValues(line: string): StoredValue[] {
+function parseWatchLine(line: string): StoredValue[] {
   const message = JSON.parse(line) as WireWatch;
   const events = message.result?.events ?? [];
   return events
@@ -162,7 +165,7 @@
 ): unknown {
   return {
     compare: conditions.map((condition) => ({
-      key: encode(condition.key),
+      key: encodeBase64(condition.key),
       target: 'MOD',
       result: 'EQUAL',
       mod_revision: String(condition.modRevision),
@@ -174,8 +177,8 @@
 
 function toWirePut(write: StoreWrite): unknown {
   return {
-    key: encode(write.key),
-    value: encode(write.value),
+    key: encodeBase64(write.key),
+    value: encodeBase64(write.value),
     ...(write.leaseId === undefined ? {} : {lease: write.leaseId}),
   };
 }
@@ -187,22 +190,22 @@
 
 function toStoredValue(wire: WireKeyValue): StoredValue {
   return {
-    key: decode(wire.key),
-    value: decode(wire.value ?? ''),
+    key: decodeBase64(wire.key),
+    value: decodeBase64(wire.value ?? ''),
     modRevision: Number(wire.mod_revision),
   };
 }
 
-/** The first key after all keys that start with `prefix` (ASCII keys). */
+/** The first key after all keys that start with `prefix`; keys are ASCII. */
 function prefixEnd(prefix: string): string {
   const last = prefix.charCodeAt(prefix.length - 1);
   return prefix.slice(0, -1) + String.fromCharCode(last + 1);
 }
 
-function encode(text: string): string {
+function encodeBase64(text: string): string {
   return Buffer.from(text).toString('base64');
 }
 
-function decode(text: string): string {
+function decodeBase64(text: string): string {
   return Buffer.from(text, 'base64').toString();
 }
--- a/packages/store/src/httpMembership.ts
+++ b/packages/store/src/httpMembership.ts
@@ -25,8 +25,8 @@
 const NOT_MODIFIED = 304;
 
 /**
- * Reads the membership list as a JSON document over HTTP. A read names the last
- * `ETag`, so that a list that has not changed is not sent again.
+ * Reads the membership list as a JSON document over HTTP. Requests carry the last `ETag`,
+ * so that an unchanged list is not sent again.
  */
 export function createHttpMembership(
   settings: HttpMembershipSettings,
--- a/packages/store/src/ports.ts
+++ b/packages/store/src/ports.ts
@@ -1,19 +1,19 @@
-/** A value of the key-value service with the revision that wrote it. */
+/** A key with its value and the revision of the store that wrote it. */
 export interface StoredValue {
   readonly key: string;
   readonly value: string;
   readonly modRevision: number;
 }
 
-/** A write of a transaction; all of them take effect or none does. */
+/** A write of a key, alone or in an atomic transaction. */
 export interface StoreWrite {
   readonly key: string;
   readonly value: string;
-  /** Binds the key's life to a lease. */
+  /** Lease whose end deletes the key. */
   readonly leaseId?: string;
 }
 
-/** What must hold for a transaction to be applied; 0 means "does not exist". */
+/** Precondition of a transaction: the key has this revision, or doesn't exist if that is 0. */
 export interface StoreCondition {
   readonly key: string;
   readonly modRevision: number;
@@ -28,15 +28,16 @@
   get(key: string): Promise<StoredValue | undefined>;
   list(prefix: string): Promise<StoredValue[]>;
   put(write: StoreWrite): Promise<void>;
+  /** Applies all writes atomically if all conditions hold. */
   compareAndSwap(
     conditions: readonly StoreCondition[],
     writes: readonly StoreWrite[],
   ): Promise<CompareAndSwapResult>;
   grantLease(ttlMs: number): Promise<string>;
-  /** Returns the remaining life in milliseconds; 0 when the lease is gone. */
+  /** Renews a lease and returns its remaining time in milliseconds; 0 if it has expired. */
   keepLeaseAlive(leaseId: string): Promise<number>;
   revokeLease(leaseId: string): Promise<void>;
-  /** Yields each new value of `key`; ends or throws when the watch breaks. */
+  /** Yields each new value of `key`, but no deletions; ends or throws when the watch breaks. */
   watch(key: string, signal: AbortSignal): AsyncIterable<StoredValue>;
 }
 
@@ -44,7 +45,7 @@
 export const MemberRole = {ENTRY: 'entry', SIDECAR: 'sidecar'} as const;
 export type MemberRole = (typeof MemberRole)[keyof typeof MemberRole];
 
-/** One row of the platform's membership list. */
+/** An instance in the platform's membership list. */
 export interface Member {
   readonly instanceId: string;
   readonly role: MemberRole;
@@ -56,7 +57,7 @@
   readonly leaving: boolean;
 }
 
-/** The platform's membership list, which lags. */
+/** The platform's membership list, which may be out of date. */
 export interface MembershipList {
   read(): Promise<Member[]>;
 }
--- a/packages/store/src/storeError.ts
+++ b/packages/store/src/storeError.ts
@@ -1,10 +1,10 @@
 /**
- * Why a call to the key-value service brought no answer. `unknown` stands for a
- * write that may have taken effect; `unavailable` for one that did not.
+ * How a call to the key-value service failed. `unknown`: a write that may have taken
+ * effect; `unavailable`: a call that had no effect.
  */
 export type StoreErrorKind = 'unavailable' | 'unknown';
 
-/** A call to the key-value service that failed. */
+/** Error of a failed call to the key-value service. */
 export class StoreError extends Error {
   constructor(
     readonly kind: StoreErrorKind,
