--- a/packages/entry/src/callerRequest.ts
+++ b/packages/entry/src/callerRequest.ts
@@ -2,7 +2,7 @@
 import type {Failure} from '@lilacledge/shared';
 import type {ModelRoute, PlainRoute} from './organisationDirectory.js';
 
-/** A checked request for a generation. */
+/** A validated request for a new generation. */
 export interface GenerationRequest {
   readonly requestId: string;
   readonly organisation: Organisation;
@@ -10,12 +10,12 @@
   readonly prompt: string;
   readonly maxTokens: number;
   readonly maxQueueMs: number;
-  /** True when the caller can come back with an event id. */
+  /** True if the caller can resume the stream with an event id. */
   readonly isResumable: boolean;
   readonly traceparent: string;
 }
 
-/** A checked request to go on with a generation. */
+/** An authenticated request to resume a generation after a given event. */
 export interface ResumeRequest {
   readonly requestId: string;
   readonly organisation: Organisation;
@@ -23,7 +23,7 @@
   readonly traceparent: string;
 }
 
-/** A checked call of a plain service. */
+/** A validated call of a plain service. */
 export interface PlainCallRequest {
   readonly requestId: string;
   readonly organisation: Organisation;
@@ -32,19 +32,22 @@
   readonly path: string;
   readonly contentType: string;
   readonly body: Uint8Array;
-  /** Idempotency key; empty when the call may be repeated. */
+  /** Idempotency key; empty if the method may be repeated without one. */
   readonly key: string;
   readonly traceparent: string;
 }
 
-/** What a caller's stream brings, in order; the last one is an end. */
+/**
+ * Events of a caller's stream, in order. The last is `done` or `failed`, unless
+ * the caller disconnects.
+ */
 export type StreamEvent =
   | {
       readonly type: 'tokens';
-      /** Number of tokens before these. */
+      /** Number of tokens of the generation before these. */
       readonly offset: number;
       readonly texts: readonly string[];
-      /** Keyed part of the event ids. */
+      /** Authenticated part that all event ids of the stream share. */
       readonly streamTag: string;
     }
   | {
@@ -56,7 +59,7 @@
     }
   | {readonly type: 'failed'; readonly failure: Failure};
 
-/** The final answer of a plain call. */
+/** The final answer to a plain call. */
 export type PlainAnswer =
   | {
       readonly kind: 'answered';
--- a/packages/entry/src/configTask.ts
+++ b/packages/entry/src/configTask.ts
@@ -5,22 +5,25 @@
 import type {EntryMetrics} from './entryMetrics.js';
 import type {EntryPorts} from './entryPorts.js';
 
-const RETRY = {firstMs: 250, maxMs: 10_000};
-const WATCHER_CHECK_MS = 1_000;
+const STORE_RETRY_BACKOFF = {firstMs: 250, maxMs: 10_000};
+const WATCHER_CHECK_INTERVAL_MS = 1_000;
 
 /**
- * A watch is opened anew after this time, so that one that has stalled in
- * silence delays a change by no more than this.
+ * A watch is reopened after this time, so that one that stalls without an error
+ * delays a change by no more than this.
  */
-const WATCH_MAX_MS = 5_000;
+const MAX_WATCH_MS = 5_000;
 
-/** An entry without a configuration asks the store itself after this time. */
-const FIRST_READ_MS = 2_000;
+/**
+ * An entry that still has no configuration reads the store itself after this
+ * time.
+ */
+const NON_WATCHER_READ_DELAY_MS = 2_000;
 
 /**
- * Keeps one entry's configuration true to the store. Only a few entries hold a
- * watch, chosen by rendezvous over the membership list; the others learn of
- * changes on their links.
+ * Keeps one entry's configuration up to date with the store. Only a few entries
+ * watch the store, chosen by rendezvous hashing over the membership list; the
+ * others receive changes over their links to sidecars.
  */
 export async function runConfigTask(
   ports: EntryPorts,
@@ -32,28 +35,34 @@
 ): Promise<void> {
   const log = ports.logger.part('config');
   let attempt = 0;
-  let startedMs = ports.clock.nowMs();
+  let lastWatchAtMs = ports.clock.nowMs();
   while (!stopped.aborted) {
-    const mustRead =
-      cache.revision === 0 && ports.clock.nowMs() - startedMs >= FIRST_READ_MS;
-    if (!isWatcher(settings, entryIds()) && !mustRead) {
-      await sleep(ports.clock, WATCHER_CHECK_MS, stopped);
+    const isReadDue =
+      cache.revision === 0 &&
+      ports.clock.nowMs() - lastWatchAtMs >= NON_WATCHER_READ_DELAY_MS;
+    if (!isWatcher(settings, entryIds()) && !isReadDue) {
+      await sleep(ports.clock, WATCHER_CHECK_INTERVAL_MS, stopped);
       continue;
     }
-    startedMs = ports.clock.nowMs();
+    lastWatchAtMs = ports.clock.nowMs();
     const isChosen = (): boolean => isWatcher(settings, entryIds());
     try {
-      await watchOnce(ports, cache, metrics, isChosen, stopped);
+      await watchHead(ports, cache, metrics, isChosen, stopped);
       attempt = 0;
     } catch (error) {
-      log.warn('Store not read.', {error: String(error)});
-      const waitMs = backoffMs(RETRY, attempt++, ports.random);
+      log.warn('Could not read the configuration from the store.', {
+        error: String(error),
+      });
+      const waitMs = backoffMs(STORE_RETRY_BACKOFF, attempt++, ports.random);
       await sleep(ports.clock, waitMs, stopped);
     }
   }
 }
 
-/** Adopts a head read from the store, or notes that the store is behind. */
+/**
+ * Adopts a head read from the store, or records by how much the store is
+ * behind.
+ */
 export async function adoptHead(
   ports: EntryPorts,
   cache: ConfigCache,
@@ -67,7 +76,9 @@
     if (behindBy === 0) return;
     ports.logger
       .part('config')
-      .error('The store is older than this process.', {behindBy});
+      .error('The store has an older configuration than this process.', {
+        behindBy,
+      });
     return;
   }
   cache.adopt(await ports.configStore.readState(head, cache.current));
@@ -82,39 +93,42 @@
   return chosen.includes(settings.instanceId);
 }
 
-/** Opens a watch, reads the head, and follows the watch for a bounded time. */
-async function watchOnce(
+/**
+ * Opens a watch, reads the current head, and adopts changes until the watch is
+ * due to be reopened or this entry is no longer a watcher.
+ */
+async function watchHead(
   ports: EntryPorts,
   cache: ConfigCache,
   metrics: EntryMetrics,
   isChosen: () => boolean,
   stopped: AbortSignal,
 ): Promise<void> {
-  const ending = new AbortController();
-  const end = (): void => ending.abort();
-  stopped.addEventListener('abort', end, {once: true});
-  const untilMs = ports.clock.nowMs() + WATCH_MAX_MS;
-  let cancel = ports.clock.after(WATCHER_CHECK_MS, check);
-  function check(): void {
-    if (!isChosen() || ports.clock.nowMs() >= untilMs) end();
-    else cancel = ports.clock.after(WATCHER_CHECK_MS, check);
+  const watchAbort = new AbortController();
+  const endWatch = (): void => watchAbort.abort();
+  stopped.addEventListener('abort', endWatch, {once: true});
+  const endsAtMs = ports.clock.nowMs() + MAX_WATCH_MS;
+  let cancelCheck = ports.clock.after(WATCHER_CHECK_INTERVAL_MS, checkWatch);
+  function checkWatch(): void {
+    if (!isChosen() || ports.clock.nowMs() >= endsAtMs) endWatch();
+    else cancelCheck = ports.clock.after(WATCHER_CHECK_INTERVAL_MS, checkWatch);
   }
   try {
-    const heads = ports.configStore.watchHead(ending.signal);
+    const heads = ports.configStore.watchHead(watchAbort.signal);
     await Promise.all([
-      followWatch(ports, cache, metrics, heads),
-      readOnce(ports, cache, metrics),
+      adoptHeads(ports, cache, metrics, heads),
+      readHead(ports, cache, metrics),
     ]);
   } catch (error) {
-    if (!ending.signal.aborted) throw error;
+    if (!watchAbort.signal.aborted) throw error;
   } finally {
-    cancel();
-    end();
-    stopped.removeEventListener('abort', end);
+    cancelCheck();
+    endWatch();
+    stopped.removeEventListener('abort', endWatch);
   }
 }
 
-async function readOnce(
+async function readHead(
   ports: EntryPorts,
   cache: ConfigCache,
   metrics: EntryMetrics,
@@ -123,7 +137,7 @@
   if (head !== undefined) await adoptHead(ports, cache, metrics, head);
 }
 
-async function followWatch(
+async function adoptHeads(
   ports: EntryPorts,
   cache: ConfigCache,
   metrics: EntryMetrics,
--- a/packages/entry/src/createEntry.ts
+++ b/packages/entry/src/createEntry.ts
@@ -26,8 +26,8 @@
 import type {ConfigMessage, SidecarPeer} from './sidecarPeer.js';
 
 /**
- * Sends beyond the first: one in ten requests and ten that are free, in any ten
- * seconds, so that a failing endpoint gets little more than the offered load.
+ * Allows one retry per ten requests, plus ten, in any window of ten seconds, so
+ * that retries add little to the load of a failing endpoint.
  */
 const RETRY_ALLOWANCE: RetryAllowance = {
   retryRatio: 0.1,
@@ -35,26 +35,29 @@
   retrySlack: 10,
 };
 
-/** Calls of all services count together. */
+/** Requests to all services share one retry budget. */
 const ALL_SERVICES = 'all';
 
-/** Each life of an entry has the whole allowance: callers spread over a few entries. */
-const ENTRIES_THAT_SHARE = 1;
+/**
+ * Each entry process has the whole allowance for itself, because callers spread
+ * over only a few entries.
+ */
+const ENTRIES_SHARING_BUDGET = 1;
 
-const DRAIN_CHECK_MS = 50;
+const DRAIN_CHECK_INTERVAL_MS = 50;
 const METRICS_INTERVAL_MS = 1_000;
 
-/** A running entry, apart from the sockets that it is reached by. */
+/** A running entry without its HTTP server. */
 export interface Entry {
   readonly settings: EntrySettings;
   readonly ports: EntryPorts;
   readonly config: ConfigCache;
   readonly pool: PeerPool;
   readonly decisions: DecisionLog;
-  /** True while the platform's balancer should send callers here. */
+  /** Readiness for the platform's load balancer. */
   readonly isReady: boolean;
   readonly openRequests: number;
-  /** Look-ups in the configuration in force; undefined while none is known. */
+  /** Lookups in the active configuration; undefined until one is received. */
   readonly directory: OrganisationDirectory | undefined;
   generate(
     request: GenerationRequest,
@@ -65,29 +68,35 @@
     signal: AbortSignal,
   ): AsyncIterable<StreamEvent>;
   call(request: PlainCallRequest): Promise<PlainAnswer>;
-  /** Reads the store's head now, as after an operator's change. */
+  /**
+   * Reads the head of the configuration from the store without waiting for the
+   * watch.
+   */
   refreshConfig(): Promise<void>;
-  /** Fails readiness, waits for the balancer and for open requests. */
+  /**
+   * Fails readiness, gives the load balancer time to notice, waits for open
+   * requests up to the drain timeout, and stops.
+   */
   shutdown(): Promise<void>;
   stop(): void;
 }
 
-/** Creates an entry and starts its tasks. */
+/** Creates an entry and starts its background tasks. */
 export function createEntry(ports: EntryPorts, settings: EntrySettings): Entry {
   const {clock} = ports;
   const log = ports.logger.part('entry');
   const metrics = createEntryMetrics(ports.metrics);
   const stopped = new AbortController();
   const config = new ConfigCache(clock);
-  const limiter = new OrganisationLimiter(clock);
+  const organisationLimiter = new OrganisationLimiter(clock);
   const decisions = new DecisionLog(clock);
   let directory: OrganisationDirectory | undefined;
-  let isLeaving = false;
+  let isShuttingDown = false;
   let openRequests = 0;
 
   const pool: PeerPool = new PeerPool(ports, settings, {
-    onConfig: handleConfig,
-    onChange: () => limiter.setEntryCount(pool.entryIds.length),
+    onConfig: handleConfigMessage,
+    onChange: () => organisationLimiter.setEntryCount(pool.entryIds.length),
     knownRevision: () => config.revision,
     linkCount: () => pool.all().length,
   });
@@ -97,11 +106,11 @@
     metrics,
     pool,
     chooser: new EndpointChooser(ports.random),
-    limiter,
-    retries: new RetryBudgets(
+    organisationLimiter,
+    retryBudget: new RetryBudgets(
       {life: settings.instanceId, isFirst: true},
       RETRY_ALLOWANCE,
-      {entries: () => ENTRIES_THAT_SHARE, isCurrent: () => true},
+      {entries: () => ENTRIES_SHARING_BUDGET, isCurrent: () => true},
       ports.clock,
     ).of(ALL_SERVICES),
     decisions,
@@ -110,13 +119,13 @@
   config.onChange((state) => {
     directory = new OrganisationDirectory(state.config);
     metrics.revision.set(state.head.revision);
-    log.info('Configuration in force.', {revision: state.head.revision});
+    log.info('Configuration activated.', {revision: state.head.revision});
     const {revision} = state.head;
     for (const peer of pool.all()) peer.send({type: 'configOffer', revision});
   });
 
-  void membershipTask();
-  void metricsTask();
+  void pollMembership();
+  void publishLinkMetrics();
   void runConfigTask(
     ports,
     settings,
@@ -126,7 +135,10 @@
     stopped.signal,
   );
 
-  function handleConfig(peer: SidecarPeer, message: ConfigMessage): void {
+  function handleConfigMessage(
+    peer: SidecarPeer,
+    message: ConfigMessage,
+  ): void {
     switch (message.type) {
       case 'configOffer': {
         const answer = config.answerOffer(message.revision);
@@ -141,7 +153,7 @@
       case 'configTransfer': {
         const result = config.adoptTransfer(message);
         if (result === 'adopted' || result === 'known') return;
-        log.warn('Configuration not taken.', {result});
+        log.warn('Configuration from a peer was not adopted.', {result});
         return;
       }
       default:
@@ -149,19 +161,19 @@
     }
   }
 
-  async function membershipTask(): Promise<void> {
+  async function pollMembership(): Promise<void> {
     while (!stopped.signal.aborted) {
       try {
         pool.update(await ports.membership.read());
       } catch (error) {
-        log.warn('Membership list not read.', {error: String(error)});
+        log.warn('Could not read the membership list.', {error: String(error)});
       }
       const {membershipPollMs} = settings.platform;
       await sleep(clock, membershipPollMs, stopped.signal);
     }
   }
 
-  async function metricsTask(): Promise<void> {
+  async function publishLinkMetrics(): Promise<void> {
     while (!stopped.signal.aborted) {
       const peers = pool.all();
       const open = peers.filter((peer) => peer.isOpen);
@@ -179,13 +191,16 @@
   ): AsyncGenerator<StreamEvent> {
     const {organisation} = request;
     metrics.requests.inc({kind: 'generation'});
-    const grant = limiter.take(organisation.id, organisation.limits);
-    if (grant.outcome === 'refused') {
-      const detail = `the organisation's limit is reached: ${grant.reason}`;
+    const admission = organisationLimiter.take(
+      organisation.id,
+      organisation.limits,
+    );
+    if (admission.outcome === 'refused') {
+      const detail = `the organisation has reached its limit: ${admission.reason}`;
       const failure = notRun(
         FailureKind.LIMIT_REACHED,
         detail,
-        grant.retryAfterMs,
+        admission.retryAfterMs,
       );
       decisions.note(request.requestId, 'refused', detail);
       yield {type: 'failed', failure};
@@ -193,7 +208,7 @@
     }
     let tokens = 0;
     try {
-      for await (const event of observed(
+      for await (const event of observeStream(
         request.requestId,
         relayGeneration(context, request, signal),
       )) {
@@ -201,7 +216,7 @@
         yield event;
       }
     } finally {
-      limiter.release(organisation.id, tokens);
+      organisationLimiter.release(organisation.id, tokens);
     }
   }
 
@@ -210,24 +225,27 @@
     signal: AbortSignal,
   ): AsyncGenerator<StreamEvent> {
     metrics.requests.inc({kind: 'resume'});
-    yield* observed(request.requestId, relayResume(context, request, signal));
+    yield* observeStream(
+      request.requestId,
+      relayResume(context, request, signal),
+    );
   }
 
-  /** Counts a stream while it is open, its first token and its end. */
-  async function* observed(
+  /** Passes a stream through and records its metrics and its outcome. */
+  async function* observeStream(
     requestId: string,
     events: AsyncIterable<StreamEvent>,
   ): AsyncGenerator<StreamEvent> {
-    const startedMs = clock.nowMs();
-    let isFirst = true;
+    const startedAtMs = clock.nowMs();
+    let isFirstToken = true;
     openRequests++;
     try {
       for await (const event of events) {
-        if (event.type === 'tokens' && isFirst) {
-          isFirst = false;
-          metrics.firstToken.observe((clock.nowMs() - startedMs) / 1000);
+        if (event.type === 'tokens' && isFirstToken) {
+          isFirstToken = false;
+          metrics.firstToken.observe((clock.nowMs() - startedAtMs) / 1000);
         }
-        noteEnd(requestId, event);
+        recordStreamEnd(requestId, event);
         yield event;
       }
     } finally {
@@ -235,7 +253,7 @@
     }
   }
 
-  function noteEnd(requestId: string, event: StreamEvent): void {
+  function recordStreamEnd(requestId: string, event: StreamEvent): void {
     switch (event.type) {
       case 'tokens':
         return;
@@ -259,14 +277,14 @@
     openRequests++;
     try {
       const answer = await relayCall(context, request);
-      noteCallEnd(request.requestId, answer);
+      recordCallEnd(request.requestId, answer);
       return answer;
     } finally {
       openRequests--;
     }
   }
 
-  function noteCallEnd(requestId: string, answer: PlainAnswer): void {
+  function recordCallEnd(requestId: string, answer: PlainAnswer): void {
     if (answer.kind === 'answered') {
       metrics.outcomes.inc({outcome: 'answered', verdict: 'ran'});
       decisions.note(requestId, 'answered', `status ${answer.status}`);
@@ -283,12 +301,12 @@
   }
 
   async function shutdown(): Promise<void> {
-    isLeaving = true;
+    isShuttingDown = true;
     log.info('Leaving.');
     await sleep(clock, settings.balancerDelayMs);
-    const deadlineMs = clock.nowMs() + settings.drainTimeoutMs;
-    while (openRequests > 0 && clock.nowMs() < deadlineMs) {
-      await sleep(clock, DRAIN_CHECK_MS);
+    const deadlineAtMs = clock.nowMs() + settings.drainTimeoutMs;
+    while (openRequests > 0 && clock.nowMs() < deadlineAtMs) {
+      await sleep(clock, DRAIN_CHECK_INTERVAL_MS);
     }
     stop();
   }
@@ -305,7 +323,7 @@
     pool,
     decisions,
     get isReady() {
-      return !isLeaving && config.revision > 0;
+      return !isShuttingDown && config.revision > 0;
     },
     get openRequests() {
       return openRequests;
--- a/packages/entry/src/decisionLog.ts
+++ b/packages/entry/src/decisionLog.ts
@@ -1,15 +1,18 @@
 import type {Clock} from '@lilacledge/shared';
 
-/** One decision about a request. */
+/** One step in the handling of a request, such as the choice of an endpoint. */
 export interface Decision {
   readonly atWallMs: number;
   readonly what: string;
   readonly detail: string;
 }
 
+/** Beyond this number, the request recorded first is evicted. */
 const MAX_REQUESTS = 20_000;
 
-/** Decisions about recent requests, for `lilacledge explain`. */
+/**
+ * Keeps the decisions about the most recent requests for `lilacledge explain`.
+ */
 export class DecisionLog {
   private readonly requests = new Map<string, Decision[]>();
 
--- a/packages/entry/src/entryContext.ts
+++ b/packages/entry/src/entryContext.ts
@@ -9,14 +9,14 @@
 import type {EntryPorts} from './entryPorts.js';
 import type {PeerPool} from './peerPool.js';
 
-/** What the tasks of one entry share. */
+/** Dependencies and state that the request handlers of one entry share. */
 export interface EntryContext {
   readonly ports: EntryPorts;
   readonly settings: EntrySettings;
   readonly metrics: EntryMetrics;
   readonly pool: PeerPool;
   readonly chooser: EndpointChooser;
-  readonly limiter: OrganisationLimiter;
-  readonly retries: SharedRetryBudget;
+  readonly organisationLimiter: OrganisationLimiter;
+  readonly retryBudget: SharedRetryBudget;
   readonly decisions: DecisionLog;
 }
--- a/packages/entry/src/entryMetrics.ts
+++ b/packages/entry/src/entryMetrics.ts
@@ -2,7 +2,7 @@
 
 const FIRST_TOKEN_BUCKETS_S = [0.05, 0.1, 0.25, 0.5, 0.97, 2, 5, 15, 60];
 
-/** The metrics of an entry; docs/operators.md explains each. */
+/** Registers the metrics of an entry, which docs/operators.md explains. */
 export function createEntryMetrics(registry: MetricsRegistry) {
   return {
     requests: registry.counter(
--- a/packages/entry/src/entryPorts.ts
+++ b/packages/entry/src/entryPorts.ts
@@ -3,7 +3,7 @@
 import type {Clock, Random} from '@lilacledge/shared';
 import type {Logger, MetricsRegistry, Tracer} from '@lilacledge/telemetry';
 
-/** Everything that an entry reaches outside itself. */
+/** Interfaces to everything outside the entry process. */
 export interface EntryPorts {
   readonly clock: Clock;
   readonly random: Random;
--- a/packages/entry/src/http/callerApi.ts
+++ b/packages/entry/src/http/callerApi.ts
@@ -22,52 +22,56 @@
 } from './completionForm.js';
 import type {CompletionBody} from './completionForm.js';
 import {toProblemResponse} from './problem.js';
-import {toStreamResponse, toWholeResponse} from './streamResponse.js';
+import {toFullResponse, toStreamResponse} from './streamResponse.js';
 
+/** Retry delay that a caller gets before a configuration is known. */
 const NOT_READY_RETRY_MS = 1_000;
 
-/** What every call of a caller starts with. */
-interface CallerContext {
+/** An authenticated request, with the configuration that applies to it. */
+interface AuthenticatedCaller {
   readonly requestId: string;
   readonly organisation: Organisation;
   readonly directory: OrganisationDirectory;
   readonly span: HopSpan;
 }
 
-/** The HTTP interface of callers: completions, models and plain services. */
+/** Creates the HTTP API for callers: completions, models and plain services. */
 export function createCallerApi(entry: Entry): H3 {
   const app = new H3();
   app.post('/v1/chat/completions', (event) =>
-    answer(entry, event, (context) =>
-      complete(entry, event, context, CompletionKind.CHAT),
+    handleRequest(entry, event, (caller) =>
+      complete(entry, event, caller, CompletionKind.CHAT),
     ),
   );
   app.post('/v1/completions', (event) =>
-    answer(entry, event, (context) =>
-      complete(entry, event, context, CompletionKind.TEXT),
+    handleRequest(entry, event, (caller) =>
+      complete(entry, event, caller, CompletionKind.TEXT),
     ),
   );
   app.get('/v1/models', (event) =>
-    answer(entry, event, async (context) => listModels(context)),
+    handleRequest(entry, event, async (caller) => listModels(caller)),
   );
   app.all('/services/:service/**', (event) =>
-    answer(entry, event, (context) => callPlain(entry, event, context)),
+    handleRequest(entry, event, (caller) => callPlain(entry, event, caller)),
   );
   return app;
 }
 
-/** Runs one call; a thrown failure becomes its problem document. */
-async function answer(
+/**
+ * Authenticates and runs one request; a thrown failure becomes a problem
+ * document.
+ */
+async function handleRequest(
   entry: Entry,
   event: H3Event,
-  run: (context: CallerContext) => Promise<Response>,
+  run: (caller: AuthenticatedCaller) => Promise<Response>,
 ): Promise<Response> {
   const requestId = event.req.headers.get('x-request-id') ?? randomUUID();
   const traceparent = event.req.headers.get('traceparent') ?? '';
   const span = entry.ports.tracer.startHop('entry.request', traceparent);
   try {
-    const context = authenticate(entry, event, requestId, span);
-    const response = await run(context);
+    const caller = authenticate(entry, event, requestId, span);
+    const response = await run(caller);
     span.event('answered', {requestId, status: response.status});
     span.end(response.ok ? 'ok' : 'failed');
     return response;
@@ -91,7 +95,7 @@
   event: H3Event,
   requestId: string,
   span: HopSpan,
-): CallerContext {
+): AuthenticatedCaller {
   const {directory} = entry;
   if (directory === undefined) {
     throw new FailureError(
@@ -116,35 +120,42 @@
 async function complete(
   entry: Entry,
   event: H3Event,
-  context: CallerContext,
+  caller: AuthenticatedCaller,
   kind: CompletionKind,
 ): Promise<Response> {
-  const {requestId} = context;
+  const {requestId} = caller;
   const body = await readCompletion(entry, event, kind);
-  const route = findModel(context, body.model);
+  const route = findModelRoute(caller, body.model);
   const formatter = new CompletionFormatter(
     kind,
     requestId,
     body.model,
     Math.floor(entry.ports.clock.wallMs() / 1000),
   );
-  const left = new AbortController();
-  event.req.signal.addEventListener('abort', () => left.abort());
-  const events = openStream(entry, event, context, body, route, left.signal);
+  const callerGone = new AbortController();
+  event.req.signal.addEventListener('abort', () => callerGone.abort());
+  const events = openStream(
+    entry,
+    event,
+    caller,
+    body,
+    route,
+    callerGone.signal,
+  );
   return body.isStream
-    ? toStreamResponse(requestId, events, formatter, () => left.abort())
-    : toWholeResponse(requestId, events, formatter);
+    ? toStreamResponse(requestId, events, formatter, () => callerGone.abort())
+    : toFullResponse(requestId, events, formatter);
 }
 
 function openStream(
   entry: Entry,
   event: H3Event,
-  context: CallerContext,
+  caller: AuthenticatedCaller,
   body: CompletionBody,
   route: ModelRoute,
   signal: AbortSignal,
 ): AsyncIterable<StreamEvent> {
-  const {requestId, organisation, span} = context;
+  const {requestId, organisation, span} = caller;
   const {traceparent} = span;
   const eventId = event.req.headers.get('last-event-id');
   if (eventId !== null) {
@@ -164,7 +175,7 @@
         body.maxTokens ?? service.maxTokensLimit,
         service.maxTokensLimit,
       ),
-      maxQueueMs: readMaxWait(event) ?? service.policy.maxQueueMs,
+      maxQueueMs: readMaxWaitMs(event) ?? service.policy.maxQueueMs,
       isResumable: body.isStream,
       traceparent,
     },
@@ -183,8 +194,11 @@
   throw new FailureError(notRun(FailureKind.BAD_REQUEST, parsed.detail));
 }
 
-function findModel(context: CallerContext, model: string): ModelRoute {
-  const models = context.directory.models(context.organisation.id);
+function findModelRoute(
+  caller: AuthenticatedCaller,
+  model: string,
+): ModelRoute {
+  const models = caller.directory.models(caller.organisation.id);
   const route = models.find((candidate) => candidate.model === model);
   if (route !== undefined) return route;
   const known = models.map((candidate) => candidate.model).join(', ');
@@ -196,27 +210,25 @@
   );
 }
 
-function listModels(context: CallerContext): Response {
-  const data = context.directory
-    .models(context.organisation.id)
-    .map((route) => ({
-      id: route.model,
-      object: 'model',
-      created: 0,
-      owned_by: route.serviceName,
-    }));
+function listModels(caller: AuthenticatedCaller): Response {
+  const data = caller.directory.models(caller.organisation.id).map((route) => ({
+    id: route.model,
+    object: 'model',
+    created: 0,
+    owned_by: route.serviceName,
+  }));
   return Response.json({object: 'list', data});
 }
 
 async function callPlain(
   entry: Entry,
   event: H3Event,
-  context: CallerContext,
+  caller: AuthenticatedCaller,
 ): Promise<Response> {
-  const request = await toPlainRequest(entry, event, context);
+  const request = await toPlainRequest(entry, event, caller);
   const result = await entry.call(request);
   if (result.kind === 'failed') {
-    return toProblemResponse(result.failure, context.requestId);
+    return toProblemResponse(result.failure, caller.requestId);
   }
   const {status, contentType, isReplay} = result;
   const body =
@@ -224,7 +236,7 @@
   return new Response(body, {
     status,
     headers: {
-      'x-request-id': context.requestId,
+      'x-request-id': caller.requestId,
       ...(contentType === '' ? {} : {'content-type': contentType}),
       ...(isReplay ? {'idempotent-replayed': 'true'} : {}),
     },
@@ -234,9 +246,9 @@
 async function toPlainRequest(
   entry: Entry,
   event: H3Event,
-  context: CallerContext,
+  caller: AuthenticatedCaller,
 ): Promise<PlainCallRequest> {
-  const {requestId, organisation, directory, span} = context;
+  const {requestId, organisation, directory, span} = caller;
   const name = event.context.params?.['service'] ?? '';
   const route = directory.plainService(organisation.id, name);
   if (route === undefined) {
@@ -257,12 +269,12 @@
       event.url.pathname.slice(`/services/${name}`.length) + event.url.search,
     contentType: event.req.headers.get('content-type') ?? '',
     body: await readBody(entry, event),
-    key: isRepeatable ? '' : readKey(event),
+    key: isRepeatable ? '' : readIdempotencyKey(event),
     traceparent: span.traceparent,
   };
 }
 
-function readKey(event: H3Event): string {
+function readIdempotencyKey(event: H3Event): string {
   const key = event.req.headers.get('idempotency-key') ?? '';
   if (mintTimeMs(key) !== undefined) return key;
   throw new FailureError(
@@ -273,7 +285,7 @@
   );
 }
 
-function readMaxWait(event: H3Event): number | undefined {
+function readMaxWaitMs(event: H3Event): number | undefined {
   const text = event.req.headers.get('lilacledge-max-wait-ms');
   if (text === null) return undefined;
   if (/^\d{1,9}$/.test(text)) return Number(text);
@@ -285,7 +297,7 @@
   );
 }
 
-/** Reads a body up to the limit; a larger one is refused, not cut. */
+/** Reads the body; one above the size limit is refused. */
 async function readBody(entry: Entry, event: H3Event): Promise<Uint8Array> {
   const {maxBodyBytes} = entry.settings;
   const chunks: Uint8Array[] = [];
--- a/packages/entry/src/http/completionForm.ts
+++ b/packages/entry/src/http/completionForm.ts
@@ -1,32 +1,32 @@
 import {z} from 'zod';
 
-const messageContent = z.union([
+const messageContentSchema = z.union([
   z.string(),
   z.array(z.object({type: z.literal('text'), text: z.string()})),
 ]);
 
-const common = {
+const commonFields = {
   model: z.string().min(1),
   stream: z.boolean().default(false),
   max_tokens: z.number().int().positive().nullish(),
 };
 
-const chatBody = z.object({
-  ...common,
+const chatBodySchema = z.object({
+  ...commonFields,
   max_completion_tokens: z.number().int().positive().nullish(),
   messages: z
-    .array(z.object({role: z.string(), content: messageContent}))
+    .array(z.object({role: z.string(), content: messageContentSchema}))
     .min(1),
 });
 
-const completionBody = z.object({...common, prompt: z.string()});
+const textBodySchema = z.object({...commonFields, prompt: z.string()});
 
-/** The two forms of request that clients speak. */
+/** The supported formats of completion requests. */
 export const CompletionKind = {CHAT: 'chat', TEXT: 'text'} as const;
 export type CompletionKind =
   (typeof CompletionKind)[keyof typeof CompletionKind];
 
-/** A request body, whatever its form. */
+/** A parsed request body of either kind. */
 export interface CompletionBody {
   readonly model: string;
   readonly prompt: string;
@@ -38,7 +38,10 @@
   | {readonly ok: true; readonly body: CompletionBody}
   | {readonly ok: false; readonly detail: string};
 
-/** Checks a request body; the detail names the field that is wrong. */
+/**
+ * Parses and validates a request body; the detail names the first invalid
+ * field.
+ */
 export function parseCompletionBody(
   kind: CompletionKind,
   text: string,
@@ -49,22 +52,25 @@
   } catch {
     return {ok: false, detail: 'the body is not JSON'};
   }
-  const schema = kind === CompletionKind.CHAT ? chatBody : completionBody;
+  const schema = kind === CompletionKind.CHAT ? chatBodySchema : textBodySchema;
   const result = schema.safeParse(raw);
   if (!result.success) {
     const issue = result.error.issues[0]!;
     return {ok: false, detail: `${issue.path.join('.')}: ${issue.message}`};
   }
-  return {ok: true, body: toBody(result.data)};
+  return {ok: true, body: toCompletionBody(result.data)};
 }
 
-/** Builds the chunks and answers of one response in its caller's form. */
+/**
+ * Formats the chunks or the full body of one response in the format of its
+ * request.
+ */
 export class CompletionFormatter {
   constructor(
     private readonly kind: CompletionKind,
     private readonly requestId: string,
     private readonly model: string,
-    private readonly createdS: number,
+    private readonly createdAtS: number,
   ) {}
 
   chunk(text: string): string {
@@ -86,7 +92,7 @@
     });
   }
 
-  whole(
+  fullResponse(
     text: string,
     finishReason: string,
     promptTokens: number,
@@ -117,14 +123,14 @@
     return {
       id: `${isChat ? 'chatcmpl' : 'cmpl'}-${this.requestId}`,
       object: isChat ? `chat.completion${suffix}` : 'text_completion',
-      created: this.createdS,
+      created: this.createdAtS,
       model: this.model,
     };
   }
 }
 
-function toBody(
-  data: z.infer<typeof chatBody> | z.infer<typeof completionBody>,
+function toCompletionBody(
+  data: z.infer<typeof chatBodySchema> | z.infer<typeof textBodySchema>,
 ): CompletionBody {
   if ('prompt' in data) {
     return {
@@ -144,7 +150,7 @@
 
 function toPromptLine(message: {
   role: string;
-  content: z.infer<typeof messageContent>;
+  content: z.infer<typeof messageContentSchema>;
 }): string {
   const {role, content} = message;
   const text =
--- a/packages/entry/src/http/entryServer.ts
+++ b/packages/entry/src/http/entryServer.ts
@@ -9,7 +9,10 @@
 
 const OPERATOR_PREFIX = '/lilacledge.operator.v1.';
 
-/** The HTTP server of one entry: callers, operators, health and metrics. */
+/**
+ * Creates the HTTP server of an entry, for callers, operators, health probes
+ * and metrics.
+ */
 export function createEntryServer(entry: Entry): Server {
   const callers = toNodeHandler(createCallerApi(entry));
   const operators = connectNodeAdapter({
--- a/packages/entry/src/http/operatorRoutes.ts
+++ b/packages/entry/src/http/operatorRoutes.ts
@@ -18,7 +18,7 @@
 import type {Entry} from '../createEntry.js';
 import type {SidecarPeer} from '../sidecarPeer.js';
 
-/** Answers the operators' calls at one entry. */
+/** Registers the operator API of an entry. */
 export function createOperatorRoutes(
   entry: Entry,
 ): (router: ConnectRouter) => void {
@@ -27,13 +27,14 @@
   };
 }
 
-/** Refuses calls without the operators' bearer key. */
+/** Rejects calls without the operator key as bearer token. */
 export function requireOperatorKey(key: string): Interceptor {
   const expected = Buffer.from(`Bearer ${key}`);
   return (next) => (request) => {
-    const given = Buffer.from(request.header.get('authorization') ?? '');
+    const received = Buffer.from(request.header.get('authorization') ?? '');
     const isSame =
-      given.length === expected.length && timingSafeEqual(given, expected);
+      received.length === expected.length &&
+      timingSafeEqual(received, expected);
     if (isSame) return next(request);
     throw new ConnectError('wrong operator key', Code.Unauthenticated);
   };
@@ -54,7 +55,7 @@
         },
         entry.config.revision,
       );
-      return respond(entry, result);
+      return toApplyResponse(entry, result);
     },
     async getConfig(request) {
       const state = await readState(entry, Number(request.revision));
@@ -77,7 +78,7 @@
         request.writeId,
         request.author,
       );
-      return respond(entry, result);
+      return toApplyResponse(entry, result);
     },
     getStatus() {
       return {
@@ -138,10 +139,10 @@
   return {revision, config: state.config};
 }
 
-async function respond(entry: Entry, result: ApplyResult) {
+async function toApplyResponse(entry: Entry, result: ApplyResult) {
   switch (result.outcome) {
     case 'applied':
-      // The watch brings the change as well; this only saves its delay.
+      // The watch would deliver the change too, but later.
       await entry.refreshConfig().catch(() => {});
       return {
         outcome: ApplyOutcome.APPLIED,
--- a/packages/entry/src/http/problem.ts
+++ b/packages/entry/src/http/problem.ts
@@ -1,8 +1,8 @@
 import type {FailureKind} from '@lilacledge/shared';
 import type {Failure} from '@lilacledge/shared';
 
-/** HTTP status of each kind of failure. */
-const STATUS: Readonly<Record<FailureKind, number>> = {
+/** HTTP status code of each kind of failure. */
+const STATUS_BY_KIND: Readonly<Record<FailureKind, number>> = {
   badRequest: 400,
   unauthenticated: 401,
   notFound: 404,
@@ -24,24 +24,24 @@
   cancelled: 502,
 };
 
-/** A refusal as its caller sees it (RFC 9457, with two members more). */
+/** A failure as a problem document (RFC 9457) with extension members. */
 export interface Problem {
   readonly type: string;
   readonly title: FailureKind;
   readonly status: number;
   readonly detail: string;
-  /** Says of this request alone whether it may have run. */
+  /** Whether this one request may have run. */
   readonly verdict: Failure['verdict'];
   readonly requestId: string;
   readonly retryAfterMs?: number;
 }
 
-/** Writes a failure as a problem document. */
+/** Converts a failure to a problem document. */
 export function toProblem(failure: Failure, requestId: string): Problem {
   return {
     type: `urn:lilacledge:problem:${failure.kind}`,
     title: failure.kind,
-    status: STATUS[failure.kind],
+    status: STATUS_BY_KIND[failure.kind],
     detail: failure.detail,
     verdict: failure.verdict,
     requestId,
@@ -51,7 +51,7 @@
   };
 }
 
-/** Answers a request with a failure. */
+/** Builds the HTTP response for a failure. */
 export function toProblemResponse(
   failure: Failure,
   requestId: string,
@@ -65,7 +65,7 @@
     const seconds = Math.max(1, Math.ceil(failure.retryAfterMs / 1000));
     headers.set('retry-after', String(seconds));
   }
-  // The member of stock completions clients, which read `error.message`.
+  // Common completions clients read `error.message`.
   const error = {
     message: failure.detail,
     type: failure.kind,
--- a/packages/entry/src/http/streamResponse.ts
+++ b/packages/entry/src/http/streamResponse.ts
@@ -5,9 +5,10 @@
 import {toProblem, toProblemResponse} from './problem.js';
 
 /**
- * Answers with server-sent events. The status line waits for the first event,
- * so that a refusal has a status of its own; a failure after it is an `error`
- * event, and the stream then has no `[DONE]`.
+ * Builds a response of server-sent events. The headers wait for the first
+ * event, so that a request that fails before any token gets the HTTP status of
+ * its failure. A later failure is sent as an `error` event, and the stream then
+ * has no `[DONE]`.
  */
 export async function toStreamResponse(
   requestId: string,
@@ -40,7 +41,8 @@
         controller.enqueue(encoder.encode(text));
         if ((event as StreamEvent).type === 'tokens') return;
         controller.close();
-        // What the request holds is released when its events are finished.
+        // Ends the generator, so that its `finally` blocks release what it
+        // holds.
         await iterator.return?.();
       },
       async cancel() {
@@ -59,8 +61,8 @@
   });
 }
 
-/** Answers with the whole text at once, or with the failure alone. */
-export async function toWholeResponse(
+/** Builds one response with the complete text, or with the failure. */
+export async function toFullResponse(
   requestId: string,
   events: AsyncIterable<StreamEvent>,
   formatter: CompletionFormatter,
@@ -74,7 +76,7 @@
     if (event.type === 'failed') {
       return toProblemResponse(event.failure, requestId);
     }
-    const body = formatter.whole(
+    const body = formatter.fullResponse(
       texts.join(''),
       event.finishReason,
       event.promptTokens,
--- a/packages/entry/src/organisationDirectory.ts
+++ b/packages/entry/src/organisationDirectory.ts
@@ -6,19 +6,20 @@
   PlainService,
 } from '@lilacledge/config';
 
-/** A model as one organisation may use it. */
+/** A model that an organisation may use, with the service that runs it. */
 export interface ModelRoute {
   readonly model: string;
   readonly serviceName: string;
   readonly service: ModelService;
 }
 
+/** A plain service that an organisation may call. */
 export interface PlainRoute {
   readonly serviceName: string;
   readonly service: PlainService;
 }
 
-/** Look-ups in one configuration: keys, organisations, routes. */
+/** Lookups of API keys, organisations and routes in one configuration. */
 export class OrganisationDirectory {
   private readonly byKeyHash = new Map<string, Organisation>();
   private readonly routes = new Map<string, Set<string>>();
@@ -38,12 +39,12 @@
     }
   }
 
-  /** The organisation that an API key belongs to. */
+  /** Finds the organisation that an API key belongs to. */
   byApiKey(apiKey: string): Organisation | undefined {
     return this.byKeyHash.get(contentHash(apiKey));
   }
 
-  /** All models that an organisation may use. */
+  /** Lists all models that an organisation may use. */
   models(organisationId: string): ModelRoute[] {
     const found: ModelRoute[] = [];
     for (const serviceName of this.servicesOf(organisationId)) {
--- a/packages/entry/src/peerPool.ts
+++ b/packages/entry/src/peerPool.ts
@@ -6,20 +6,26 @@
 import {SidecarPeer} from './sidecarPeer.js';
 import type {PeerEvents} from './sidecarPeer.js';
 
-/** A shrunken list is believed only if it keeps this share of the peers. */
-const MIN_KEPT_SHARE = 0.5;
+/**
+ * Share of the known peers that a new membership list must keep; missing peers
+ * without an open link don't count as lost.
+ */
+const MIN_REMAINING_SHARE = 0.5;
 
-/** Lists up to this size may shrink by any share. */
-const SMALL_POOL = 3;
+/** Pools up to this size accept any list that names at least one sidecar. */
+const SMALL_POOL_SIZE = 3;
 
 /**
  * The sidecars that this entry knows. The membership list adds and removes
- * candidates; whether one takes work is learned on its link.
+ * them; whether a sidecar takes new work is reported over its link.
  */
 export class PeerPool {
   private readonly peers = new Map<string, SidecarPeer>();
   private members: readonly Member[] = [];
-  /** Entries of the deployment; empty until a list was read. */
+  /**
+   * Instance ids of all entries, this one included; empty until a list is
+   * accepted.
+   */
   entryIds: readonly string[] = [];
 
   constructor(
@@ -36,33 +42,44 @@
     return this.all().filter((peer) => peer.member.service === service);
   }
 
-  /** The peer of an instance; links to it on demand when it is listed. */
+  /**
+   * Finds the peer of an instance. If the instance is listed but has no peer,
+   * adds one, which starts to connect.
+   */
   find(instanceId: string): SidecarPeer | undefined {
     const known = this.peers.get(instanceId);
     if (known !== undefined) return known;
     const member = this.members.find(
-      (row) => row.instanceId === instanceId && row.role === MemberRole.SIDECAR,
+      (candidate) =>
+        candidate.instanceId === instanceId &&
+        candidate.role === MemberRole.SIDECAR,
     );
     return member === undefined ? undefined : this.add(member);
   }
 
-  /** Takes a new membership list, unless it looks like the list's own fault. */
+  /** Applies a new membership list, unless it looks faulty. */
   update(members: readonly Member[]): void {
-    const sidecars = members.filter((row) => row.role === MemberRole.SIDECAR);
+    const sidecars = members.filter(
+      (member) => member.role === MemberRole.SIDECAR,
+    );
     if (this.isImplausible(sidecars)) {
-      this.ports.logger.part('members').warn('Shrunken list not believed.', {
-        listed: sidecars.length,
-        known: this.peers.size,
-      });
+      this.ports.logger
+        .part('members')
+        .warn('Membership list rejected: too many sidecars are missing.', {
+          listed: sidecars.length,
+          known: this.peers.size,
+        });
       return;
     }
     if (isSameList(this.members, members)) return;
     this.members = members;
-    const entries = members.filter((row) => row.role === MemberRole.ENTRY);
-    const ids = new Set(entries.map((row) => row.instanceId));
+    const entries = members.filter(
+      (member) => member.role === MemberRole.ENTRY,
+    );
+    const ids = new Set(entries.map((entry) => entry.instanceId));
     ids.add(this.settings.instanceId);
     this.entryIds = [...ids];
-    this.reconcile(this.chosen(sidecars));
+    this.reconcile(this.sidecarsToLink(sidecars));
     this.events.onChange();
   }
 
@@ -72,66 +89,77 @@
   }
 
   /**
-   * A list that loses most of its rows at once is believed only when the peers
-   * are silent as well.
+   * A list that drops most of the known peers at once is a fault of the list
+   * if their links are still open.
    */
   private isImplausible(sidecars: readonly Member[]): boolean {
     const known = this.peers.size;
-    if (known <= SMALL_POOL && sidecars.length > 0) return false;
-    const listed = new Set(sidecars.map((row) => row.instanceId));
+    if (known <= SMALL_POOL_SIZE && sidecars.length > 0) return false;
+    const listed = new Set(sidecars.map((sidecar) => sidecar.instanceId));
     const missing = this.all().filter(
       (peer) => !listed.has(peer.member.instanceId) && peer.isOpen,
     );
-    return missing.length > known * (1 - MIN_KEPT_SHARE);
+    return missing.length > known * (1 - MIN_REMAINING_SHARE);
   }
 
   /**
-   * The sidecars to link to: some of each service, by this entry's own choice,
-   * and all that count this entry among the few owed to them, so that no
-   * sidecar is left without links.
+   * Selects the sidecars to link to: of each service, those that rank first for
+   * this entry and those that this entry is assigned to, so that no sidecar is
+   * left without links.
    */
-  private chosen(sidecars: readonly Member[]): Member[] {
+  private sidecarsToLink(sidecars: readonly Member[]): Member[] {
     const byService = new Map<string, Member[]>();
-    for (const row of sidecars) {
-      const rows = byService.get(row.service) ?? [];
-      rows.push(row);
-      byService.set(row.service, rows);
+    for (const sidecar of sidecars) {
+      const ofService = byService.get(sidecar.service) ?? [];
+      ofService.push(sidecar);
+      byService.set(sidecar.service, ofService);
     }
-    return [...byService.values()].flatMap((rows) => this.subset(rows));
+    return [...byService.values()].flatMap((ofService) =>
+      this.chooseOfService(ofService),
+    );
   }
 
-  /** True if this entry is one of the few that each sidecar is owed. */
-  private isOwedTo(sidecarId: string): boolean {
+  /**
+   * True if this entry is among the `linksPerSidecar` that rank first for the
+   * sidecar.
+   */
+  private isAssignedTo(sidecarId: string): boolean {
     const {instanceId, linksPerSidecar} = this.settings;
     if (this.entryIds.length <= linksPerSidecar) return true;
-    const order = rendezvous(sidecarId, this.entryIds);
-    return order.slice(0, linksPerSidecar).includes(instanceId);
+    const ranking = rendezvous(sidecarId, this.entryIds);
+    return ranking.slice(0, linksPerSidecar).includes(instanceId);
   }
 
-  private subset(rows: readonly Member[]): Member[] {
+  private chooseOfService(sidecars: readonly Member[]): Member[] {
     const {instanceId, linksPerService} = this.settings;
-    if (rows.length <= linksPerService) return [...rows];
-    const ids = rows.map((row) => row.instanceId);
-    const own = new Set(rendezvous(instanceId, ids).slice(0, linksPerService));
-    return rows.filter(
-      (row) => own.has(row.instanceId) || this.isOwedTo(row.instanceId),
+    if (sidecars.length <= linksPerService) return [...sidecars];
+    const ids = sidecars.map((sidecar) => sidecar.instanceId);
+    const chosenIds = new Set(
+      rendezvous(instanceId, ids).slice(0, linksPerService),
+    );
+    return sidecars.filter(
+      (sidecar) =>
+        chosenIds.has(sidecar.instanceId) ||
+        this.isAssignedTo(sidecar.instanceId),
     );
   }
 
-  private reconcile(rows: readonly Member[]): void {
-    const wanted = new Map(rows.map((row) => [row.instanceId, row]));
+  private reconcile(sidecars: readonly Member[]): void {
+    const wanted = new Map(
+      sidecars.map((sidecar) => [sidecar.instanceId, sidecar]),
+    );
     for (const [id, peer] of this.peers) {
-      const row = wanted.get(id);
-      if (row !== undefined && isSameAddress(row, peer.member)) continue;
-      // A peer that still answers calls is kept until they have ended.
+      const member = wanted.get(id);
+      if (member !== undefined && isSameAddress(member, peer.member)) continue;
+      // An unlisted peer with calls in progress is kept until they have ended.
       peer.isListed = false;
-      if (peer.outstanding > 0 && row === undefined) continue;
+      if (peer.outstanding > 0 && member === undefined) continue;
       peer.stop();
       this.peers.delete(id);
     }
-    for (const row of rows) {
-      const peer = this.peers.get(row.instanceId) ?? this.add(row);
-      peer.isListed = !row.leaving;
+    for (const sidecar of sidecars) {
+      const peer = this.peers.get(sidecar.instanceId) ?? this.add(sidecar);
+      peer.isListed = !sidecar.leaving;
     }
   }
 
--- a/packages/entry/src/relayCall.ts
+++ b/packages/entry/src/relayCall.ts
@@ -17,28 +17,35 @@
 import type {OpenCall, SidecarPeer} from './sidecarPeer.js';
 
 const MAX_ATTEMPTS = 3;
-const RELINK_LIMIT_MS = 8_000;
-const RETRY_MS = 1_000;
 
-/** Calls a plain service: freely when it may be repeated, else by its key. */
+/** How long a keyed call waits for a lost link to reopen. */
+const RECONNECT_TIMEOUT_MS = 8_000;
+
+/** Retry delay that a caller gets with a failure. */
+const RETRY_AFTER_MS = 1_000;
+
+/**
+ * Relays a call to a plain service: to any endpoint if it may be repeated,
+ * otherwise to the endpoint that owns its idempotency key.
+ */
 export function relayCall(
   context: EntryContext,
   request: PlainCallRequest,
 ): Promise<PlainAnswer> {
   return request.key === ''
-    ? relayFreeCall(context, request)
+    ? relayRepeatableCall(context, request)
     : relayKeyedCall(context, request);
 }
 
-async function relayFreeCall(
+async function relayRepeatableCall(
   context: EntryContext,
   request: PlainCallRequest,
 ): Promise<PlainAnswer> {
   const tried = new Set<string>();
   let answer: PlainAnswer | undefined;
-  context.retries.noteRequest();
+  context.retryBudget.noteRequest();
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-    if (attempt > 0 && !context.retries.tryTake()) break;
+    if (attempt > 0 && !context.retryBudget.tryTake()) break;
     const peer = selectPeer(
       context,
       request.requestId,
@@ -54,19 +61,20 @@
     if (answer.kind === 'answered') return answer;
     context.decisions.note(request.requestId, 'failed', answer.failure.detail);
   }
-  return answer ?? {kind: 'failed', failure: noEndpoint(request)};
+  return answer ?? {kind: 'failed', failure: noEndpointFailure(request)};
 }
 
 /**
- * A keyed call goes to the one endpoint that owns its key. When the link is
- * lost on the way, the same incarnation is asked again with the same key: its
- * record answers without a second run. A new incarnation is never asked.
+ * Sends a keyed call to the one endpoint that owns its key. If the link is
+ * lost, the call is sent again to the same incarnation, whose record of the key
+ * prevents a second run. A new incarnation has no such record, so it never gets
+ * the call.
  */
 async function relayKeyedCall(
   context: EntryContext,
   request: PlainCallRequest,
 ): Promise<PlainAnswer> {
-  const owner = findOwner(context, request);
+  const owner = findKeyOwner(context, request);
   if (owner.kind === 'failed') return owner;
   const {peer} = owner;
   const incarnation = peer.identity!.incarnation;
@@ -78,36 +86,45 @@
   let answer = await callOnce(peer, request);
   for (let attempt = 1; attempt < MAX_ATTEMPTS; attempt++) {
     if (!isLinkLost(answer)) return answer;
-    const isBack = await peer.waitUntilOpen(RELINK_LIMIT_MS);
-    if (!isBack || peer.identity!.incarnation !== incarnation) return answer;
-    context.decisions.note(request.requestId, 'asked again', 'link was lost');
-    const again = await callOnce(peer, request);
-    answer = keepDoubt(answer, again);
+    const isOpen = await peer.waitUntilOpen(RECONNECT_TIMEOUT_MS);
+    if (!isOpen || peer.identity!.incarnation !== incarnation) return answer;
+    context.decisions.note(
+      request.requestId,
+      'sent again',
+      'the link was lost',
+    );
+    const nextAnswer = await callOnce(peer, request);
+    answer = keepUncertainVerdict(answer, nextAnswer);
   }
   return answer;
 }
 
-type Owner =
+type OwnerLookup =
   | {readonly kind: 'owner'; readonly peer: SidecarPeer}
   | {readonly kind: 'failed'; readonly failure: Failure};
 
-function findOwner(context: EntryContext, request: PlainCallRequest): Owner {
+function findKeyOwner(
+  context: EntryContext,
+  request: PlainCallRequest,
+): OwnerLookup {
   const slot = slotOfKey(request.organisation.id, request.key);
-  const mintedMs = mintTimeMs(request.key)!;
-  const holders = context.pool
+  const mintedAtMs = mintTimeMs(request.key)!;
+  const slotHolders = context.pool
     .ofService(request.route.serviceName)
     .filter((peer) => peer.isOpen)
     .flatMap((peer) => peer.grants.map((grant) => ({peer, grant})))
     .filter(({grant}) => grant.slot === slot);
-  const owners = holders.filter(
-    ({grant}) => grant.fromWallMs <= mintedMs && mintedMs < grant.untilWallMs,
+  const owners = slotHolders.filter(
+    ({grant}) =>
+      grant.fromWallMs <= mintedAtMs && mintedAtMs < grant.untilWallMs,
   );
   if (owners.length > 1) {
     context.metrics.slotConflicts.inc();
-    return {kind: 'failed', failure: conflictingOwners()};
+    return {kind: 'failed', failure: conflictingOwnersFailure()};
   }
-  // An old key is shown to the present owner, which knows what to say of it.
-  const chosen = owners[0] ?? holders[0];
+  // A key minted outside every interval goes to the current holder of its slot,
+  // which decides from its own record.
+  const chosen = owners[0] ?? slotHolders[0];
   if (chosen !== undefined) return {kind: 'owner', peer: chosen.peer};
   const failure = notRun(
     FailureKind.KEY_HOME_UNAVAILABLE,
@@ -123,7 +140,7 @@
 ): Promise<PlainAnswer> {
   const call = peer.openCall();
   if (call === undefined) {
-    return {kind: 'failed', failure: noEndpoint(request)};
+    return {kind: 'failed', failure: noEndpointFailure(request)};
   }
   const {requestId, method, path, contentType, body, key, traceparent} =
     request;
@@ -149,13 +166,13 @@
         return {kind: 'failed', failure: message.failure};
       }
       if (message.type === 'linkLost') {
-        return {kind: 'failed', failure: lostLink()};
+        return {kind: 'failed', failure: linkLostFailure()};
       }
       if (message.type !== 'result') continue;
       const {status, contentType, body, isReplay} = message;
       return {kind: 'answered', status, contentType, body, isReplay};
     }
-    return {kind: 'failed', failure: lostLink()};
+    return {kind: 'failed', failure: linkLostFailure()};
   } finally {
     call.close();
   }
@@ -167,34 +184,40 @@
   );
 }
 
-/** An earlier try may have run, so a later refusal proves nothing of it. */
-function keepDoubt(earlier: PlainAnswer, later: PlainAnswer): PlainAnswer {
+/**
+ * If an earlier attempt may have run, a later refusal doesn't show that it
+ * hasn't.
+ */
+function keepUncertainVerdict(
+  earlier: PlainAnswer,
+  later: PlainAnswer,
+): PlainAnswer {
   if (later.kind === 'answered' || earlier.kind === 'answered') return later;
   if (earlier.failure.verdict !== Verdict.MAY_HAVE_RUN) return later;
   const failure = {...later.failure, verdict: Verdict.MAY_HAVE_RUN};
   return {kind: 'failed', failure};
 }
 
-function lostLink(): Failure {
+function linkLostFailure(): Failure {
   return mayHaveRun(
     FailureKind.LINK_LOST,
     'the link was lost before the answer came',
-    RETRY_MS,
+    RETRY_AFTER_MS,
   );
 }
 
-function conflictingOwners(): Failure {
+function conflictingOwnersFailure(): Failure {
   return mayHaveRun(
     FailureKind.KEY_UNDECIDABLE,
     'two endpoints claim this key; it is not run until that is settled',
-    RETRY_MS,
+    RETRY_AFTER_MS,
   );
 }
 
-function noEndpoint(request: PlainCallRequest): Failure {
+function noEndpointFailure(request: PlainCallRequest): Failure {
   return notRun(
     FailureKind.NO_ENDPOINT,
     `no endpoint of ${request.route.serviceName} takes new work`,
-    RETRY_MS,
+    RETRY_AFTER_MS,
   );
 }
--- a/packages/entry/src/relayGeneration.ts
+++ b/packages/entry/src/relayGeneration.ts
@@ -12,54 +12,59 @@
 import {selectPeer} from './selectPeer.js';
 import type {CallMessage, OpenCall, SidecarPeer} from './sidecarPeer.js';
 import {
-  goneGeneration,
-  NO_ENDPOINT_RETRY_MS,
-  noEndpoint,
-  refusedResume,
-  RETRYABLE,
-  worse,
+  endpointGoneFailure,
+  NO_ENDPOINT_RETRY_AFTER_MS,
+  noEndpointFailure,
+  resumeRefusedFailure,
+  RETRYABLE_FAILURES,
+  keepUncertainVerdict,
 } from './streamFailures.js';
 
-/** Events that a sidecar may send ahead of the caller's reading. */
-const WINDOW_TOKENS = 512;
+/** Tokens that a sidecar may send before the caller has read them. */
+const CREDIT_WINDOW_TOKENS = 512;
 
-/** Credit is returned in steps of at least this many tokens. */
-const CREDIT_STEP_TOKENS = 64;
+/** Credit is returned once at least this many tokens were read. */
+const MIN_CREDIT_TOKENS = 64;
 
-/** How long a lost link may take to come back before the stream is ended. */
-const RELINK_LIMIT_MS = 8_000;
+/** How long a stream waits for a lost link to reopen before it fails. */
+const RECONNECT_TIMEOUT_MS = 8_000;
 
 const MAX_ATTEMPTS = 4;
 
-/** Output expected of a request when its endpoint is chosen. */
+/** Output length assumed for a request when its endpoint is chosen. */
 const EXPECTED_OUTPUT_TOKENS = 256;
 
-/** The generation that a stream is bound to. */
-interface Binding {
+/** The generation that a stream reads, and the sidecar that runs it. */
+interface GenerationBinding {
   peer: SidecarPeer;
   incarnation: string;
   generationId: string;
   streamTag: string;
 }
 
-/** How the relay of one attempt ended. */
+/**
+ * How one attempt ended; `final` means that nothing more is to be sent to the
+ * caller.
+ */
 type AttemptEnd =
   | {readonly kind: 'final'}
   | {readonly kind: 'failed'; readonly failure: Failure};
 
-/** The life of one caller's stream across attempts and links. */
+/** State of one caller's stream across attempts and links. */
 interface StreamState {
   readonly requestId: string;
   readonly organisationId: string;
   readonly signal: AbortSignal;
-  /** Whether the generation is kept for a caller that leaves. */
+  /** Whether the generation is kept when the caller disconnects. */
   readonly isResumable: boolean;
-  /** Tokens that the caller has. */
+  /** Number of tokens passed on to the caller. */
   offset: number;
-  binding: Binding | undefined;
+  binding: GenerationBinding | undefined;
 }
 
-/** Streams a new generation; tries elsewhere while nothing was delivered. */
+/**
+ * Streams a new generation; tries other endpoints while no token was delivered.
+ */
 export async function* relayGeneration(
   context: EntryContext,
   request: GenerationRequest,
@@ -75,25 +80,25 @@
   };
   const tried = new Set<string>();
   let failure: Failure | undefined;
-  context.retries.noteRequest();
+  context.retryBudget.noteRequest();
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     if (failure !== undefined && !mayRetry(context, state, failure)) break;
     const peer = choosePeer(context, request, tried);
     if (peer === undefined) {
-      failure ??= noEndpoint(request.route.serviceName);
+      failure ??= noEndpointFailure(request.route.serviceName);
       break;
     }
     tried.add(peer.member.instanceId);
-    const end = yield* attemptOnce(context, request, state, peer);
+    const end = yield* relayAttempt(context, request, state, peer);
     if (end.kind === 'final') return;
-    failure = worse(failure, end.failure);
+    failure = keepUncertainVerdict(failure, end.failure);
     if (state.offset > 0) break;
   }
   if (signal.aborted) return;
   yield {type: 'failed', failure: failure!};
 }
 
-/** Goes on with a generation that a caller has read a part of. */
+/** Resumes a generation after the last event that the caller received. */
 export async function* relayResume(
   context: EntryContext,
   request: ResumeRequest,
@@ -101,12 +106,17 @@
 ): AsyncGenerator<StreamEvent> {
   const point = parseEventId(context.settings.linkKey, request.eventId);
   if (point?.organisationId !== request.organisation.id) {
-    yield {type: 'failed', failure: refusedResume('the event id is not yours')};
+    yield {
+      type: 'failed',
+      failure: resumeRefusedFailure(
+        'the event id is not valid for this organisation',
+      ),
+    };
     return;
   }
   const peer = context.pool.find(point.instanceId);
   if (peer === undefined) {
-    yield {type: 'failed', failure: goneGeneration()};
+    yield {type: 'failed', failure: endpointGoneFailure()};
     return;
   }
   const state: StreamState = {
@@ -123,7 +133,7 @@
     },
   };
   context.metrics.resumes.inc({cause: 'caller'});
-  const end = yield* followLinks(context, state, undefined);
+  const end = yield* relayAcrossLinks(context, state, undefined);
   if (end.kind === 'failed' && !signal.aborted) {
     yield {type: 'failed', failure: end.failure};
   }
@@ -155,17 +165,18 @@
   failure: Failure,
 ): boolean {
   if (state.signal.aborted || state.offset > 0) return false;
-  if (!RETRYABLE.has(failure.kind)) return false;
-  // A drain refuses at once and without work, so going elsewhere is no load.
-  if (failure.kind !== FailureKind.DRAINING && !context.retries.tryTake()) {
+  if (!RETRYABLE_FAILURES.has(failure.kind)) return false;
+  // A draining endpoint refuses at once without doing work, so this retry adds
+  // no load and needs no budget.
+  if (failure.kind !== FailureKind.DRAINING && !context.retryBudget.tryTake()) {
     return false;
   }
   context.metrics.retries.inc({cause: failure.kind});
-  context.decisions.note(state.requestId, 'tried again', failure.detail);
+  context.decisions.note(state.requestId, 'retried', failure.detail);
   return true;
 }
 
-async function* attemptOnce(
+async function* relayAttempt(
   context: EntryContext,
   request: GenerationRequest,
   state: StreamState,
@@ -173,7 +184,10 @@
 ): AsyncGenerator<StreamEvent, AttemptEnd> {
   const call = peer.openCall();
   if (call === undefined) {
-    return {kind: 'failed', failure: noEndpoint(request.route.serviceName)};
+    return {
+      kind: 'failed',
+      failure: noEndpointFailure(request.route.serviceName),
+    };
   }
   const promptTokens = estimateTokens(request.prompt);
   state.binding = undefined;
@@ -188,32 +202,34 @@
     prompt: request.prompt,
     promptTokens,
     maxTokens: request.maxTokens,
-    credit: WINDOW_TOKENS,
+    credit: CREDIT_WINDOW_TOKENS,
     maxQueueMs: request.maxQueueMs,
     traceparent: request.traceparent,
   });
-  return yield* followLinks(context, state, {peer, call});
+  return yield* relayAcrossLinks(context, state, {peer, call});
 }
 
-interface Attached {
+/** An open call that delivers the events of a generation. */
+interface AttachedCall {
   readonly peer: SidecarPeer;
   readonly call: OpenCall;
 }
 
 /**
- * Reads one generation over as many links as it takes. A link that is lost is
- * replaced by a new one to the same incarnation, from the caller's offset.
+ * Relays one generation across lost links: when the link to the same
+ * incarnation reopens, the generation is resumed from the caller's offset.
  */
-async function* followLinks(
+async function* relayAcrossLinks(
   context: EntryContext,
   state: StreamState,
-  first: Attached | undefined,
+  first: AttachedCall | undefined,
 ): AsyncGenerator<StreamEvent, AttemptEnd> {
   let attached = first ?? (await reattach(context, state));
   while (attached !== undefined) {
-    const end = yield* followCall(context, state, attached);
+    const end = yield* relayCallMessages(context, state, attached);
     if (end !== 'linkLost') return end;
-    // With nothing delivered, another endpoint is quicker than a new link.
+    // While no token was delivered, another endpoint is faster than waiting for
+    // the link.
     if (state.offset === 0 || state.binding === undefined) break;
     context.metrics.resumes.inc({cause: 'link'});
     context.decisions.note(state.requestId, 'link lost', 'resuming');
@@ -223,17 +239,21 @@
   const detail = 'the endpoint of this generation cannot be reached';
   return {
     kind: 'failed',
-    failure: mayHaveRun(kind, detail, NO_ENDPOINT_RETRY_MS),
+    failure: mayHaveRun(kind, detail, NO_ENDPOINT_RETRY_AFTER_MS),
   };
 }
 
+/**
+ * Waits for the link and resumes the generation; undefined if its incarnation
+ * is gone.
+ */
 async function reattach(
   context: EntryContext,
   state: StreamState,
-): Promise<Attached | undefined> {
+): Promise<AttachedCall | undefined> {
   const binding = state.binding!;
   const {peer} = binding;
-  if (!(await peer.waitUntilOpen(RELINK_LIMIT_MS, state.signal))) {
+  if (!(await peer.waitUntilOpen(RECONNECT_TIMEOUT_MS, state.signal))) {
     return undefined;
   }
   const incarnation = peer.identity!.incarnation;
@@ -248,45 +268,45 @@
     generationId: binding.generationId,
     organisationId: state.organisationId,
     fromOffset: state.offset,
-    credit: WINDOW_TOKENS,
+    credit: CREDIT_WINDOW_TOKENS,
   });
   return {peer, call};
 }
 
-async function* followCall(
+async function* relayCallMessages(
   context: EntryContext,
   state: StreamState,
-  {peer, call}: Attached,
+  {peer, call}: AttachedCall,
 ): AsyncGenerator<StreamEvent, AttemptEnd | 'linkLost'> {
   const onAbort = (): void => call.messages.close();
   state.signal.addEventListener('abort', onAbort, {once: true});
   let isEnded = false;
-  let spent = 0;
+  let uncreditedTokens = 0;
   try {
     for await (const message of call.messages) {
-      const step = toStep(context, state, peer, message);
-      isEnded = step.kind === 'end' || step.kind === 'linkLost';
-      if (step.kind === 'linkLost') return 'linkLost';
-      if (step.kind === 'none') continue;
-      if (step.kind === 'end') {
-        if (step.event !== undefined) yield step.event;
-        return step.end;
+      const result = handleMessage(context, state, peer, message);
+      isEnded = result.kind === 'end' || result.kind === 'linkLost';
+      if (result.kind === 'linkLost') return 'linkLost';
+      if (result.kind === 'none') continue;
+      if (result.kind === 'end') {
+        if (result.event !== undefined) yield result.event;
+        return result.end;
       }
-      yield step.event;
-      spent += step.event.texts.length;
-      if (spent < CREDIT_STEP_TOKENS) continue;
-      call.send({type: 'credit', callId: call.callId, count: spent});
-      spent = 0;
+      yield result.event;
+      uncreditedTokens += result.event.texts.length;
+      if (uncreditedTokens < MIN_CREDIT_TOKENS) continue;
+      call.send({type: 'credit', callId: call.callId, count: uncreditedTokens});
+      uncreditedTokens = 0;
     }
     return {kind: 'final'};
   } finally {
     state.signal.removeEventListener('abort', onAbort);
-    if (!isEnded) call.send(toCancel(call, state));
+    if (!isEnded) call.send(createCancelMessage(call, state));
     call.close();
   }
 }
 
-type Step =
+type MessageResult =
   | {readonly kind: 'none'}
   | {readonly kind: 'linkLost'}
   | {
@@ -299,23 +319,26 @@
       readonly end: AttemptEnd;
     };
 
-/** What one message of the sidecar means for the caller. */
-function toStep(
+/**
+ * Updates the stream's state by one message and returns what to send to the
+ * caller.
+ */
+function handleMessage(
   context: EntryContext,
   state: StreamState,
   peer: SidecarPeer,
   message: CallMessage,
-): Step {
+): MessageResult {
   switch (message.type) {
     case 'accepted':
-      state.binding = bind(context, state, peer, message.generationId);
+      state.binding = createBinding(context, state, peer, message.generationId);
       return {kind: 'none'};
     case 'tokens': {
       const {offset} = state;
-      // The sidecar sends in order from the offset asked for; anything else
-      // would double or lose a token.
+      // The sidecar sends in order from the requested offset; any other offset
+      // would duplicate or lose tokens.
       if (message.offset !== offset) {
-        return failedStep('the stream lost its order');
+        return endpointFailedResult('the endpoint sent tokens out of order');
       }
       state.offset += message.texts.length;
       const {streamTag} = state.binding!;
@@ -327,7 +350,9 @@
     }
     case 'done':
       if (message.offset !== state.offset) {
-        return failedStep('the stream ended before its last token');
+        return endpointFailedResult(
+          'the endpoint ended the stream before its last token was received',
+        );
       }
       return {
         kind: 'end',
@@ -345,18 +370,20 @@
     case 'linkLost':
       return {kind: 'linkLost'};
     case 'result':
-      return failedStep('an answer of another kind');
+      return endpointFailedResult(
+        'the endpoint answered a generation with the result of a plain call',
+      );
     default:
       return assertNever(message);
   }
 }
 
-function bind(
+function createBinding(
   context: EntryContext,
   state: StreamState,
   peer: SidecarPeer,
   generationId: string,
-): Binding {
+): GenerationBinding {
   const {instanceId} = peer.member;
   const {organisationId} = state;
   return {
@@ -371,12 +398,12 @@
   };
 }
 
-function toCancel(call: OpenCall, state: StreamState): EntryMessage {
+function createCancelMessage(call: OpenCall, state: StreamState): EntryMessage {
   const abandon = !state.isResumable || !state.signal.aborted;
   return {type: 'cancel', callId: call.callId, abandon};
 }
 
-function failedStep(detail: string): Step {
+function endpointFailedResult(detail: string): MessageResult {
   const failure = mayHaveRun(FailureKind.ENDPOINT_FAILED, detail);
   return {kind: 'end', end: {kind: 'failed', failure}};
 }
--- a/packages/entry/src/selectPeer.ts
+++ b/packages/entry/src/selectPeer.ts
@@ -3,7 +3,7 @@
 import type {EntryContext} from './entryContext.js';
 import type {SidecarPeer} from './sidecarPeer.js';
 
-/** Peers of a service that may take new work, less those already tried. */
+/** Peers of a service that accept new work, without those already tried. */
 export function servingPeers(
   context: EntryContext,
   service: string,
@@ -14,14 +14,14 @@
     .filter((peer) => !tried.has(peer.member.instanceId));
   const serving = untried.filter((peer) => peer.isServing);
   if (serving.length > 0) return serving;
-  // A list that calls every endpoint of a service leaving is not believed
-  // against the word of the endpoints themselves.
+  // The membership list may be wrong if it marks every endpoint of a service as
+  // leaving, so the endpoints' own load reports decide then.
   return untried.filter(
     (peer) => peer.isOpen && peer.load.state === SidecarState.SERVING,
   );
 }
 
-/** Chooses a peer for a request; undefined when there is none left. */
+/** Chooses a peer for a request; undefined when none is left to try. */
 export function selectPeer(
   context: EntryContext,
   requestId: string,
@@ -41,7 +41,7 @@
     `${choice.id} by ${choice.rule}, score ${choice.score.toFixed(1)} of ${choice.sampled} sampled, ${peers.length} serving`,
   );
   const chosen = peers.find((peer) => peer.member.instanceId === choice.id);
-  chosen?.prefixes.note(blocks);
+  chosen?.prefixHints.note(blocks);
   return chosen;
 }
 
@@ -61,6 +61,6 @@
     backlogTokens: load.backlogTokens,
     maxBatch: load.maxBatch,
     reportAgeMs: peer.reportAgeMs,
-    cachedTokens: peer.prefixes.cachedTokens(blocks),
+    cachedTokens: peer.prefixHints.cachedTokens(blocks),
   };
 }
--- a/packages/entry/src/sidecarPeer.ts
+++ b/packages/entry/src/sidecarPeer.ts
@@ -17,7 +17,7 @@
 import {AsyncQueue, backoffMs, sleep} from '@lilacledge/shared';
 import type {EntryPorts} from './entryPorts.js';
 
-/** What a sidecar sends about one call, or the loss of its link. */
+/** A message of the sidecar about one call, or the loss of the link. */
 export type CallMessage =
   | Extract<
       SidecarMessage,
@@ -30,32 +30,39 @@
   readonly callId: number;
   readonly messages: AsyncQueue<CallMessage>;
   send(message: EntryMessage): void;
-  /** Forgets the call; later messages for it are dropped. */
+  /** Ends the local handling of the call; later messages for it are dropped. */
   close(): void;
 }
 
-/** Configuration messages that a peer passes up. */
+/** Messages about the configuration, which the entry handles for all peers. */
 export type ConfigMessage = ConfigOffer | ConfigRequest | ConfigTransfer;
 
+/** What a peer needs from its entry. */
 export interface PeerEvents {
   onConfig(peer: SidecarPeer, message: ConfigMessage): void;
+  /** Called when the known sidecars, a link or a load report change. */
   onChange(): void;
+  /** Revision of the configuration that this entry has. */
   knownRevision(): number;
   /** Number of links that this entry keeps. */
   linkCount(): number;
 }
 
-const RECONNECT = {firstMs: 100, maxMs: 5_000};
-const GREETING_TIMEOUT_MS = 3_000;
-const HEARTBEAT_MS = 2_000;
+const RECONNECT_BACKOFF = {firstMs: 100, maxMs: 5_000};
+const HANDSHAKE_TIMEOUT_MS = 3_000;
+const MIN_HEARTBEAT_INTERVAL_MS = 2_000;
 
-/** With many links heartbeats are rarer, so that all of them are bounded. */
-const HEARTBEAT_PER_LINK_MS = 8;
+/**
+ * The interval grows with the number of links, which bounds the rate of
+ * heartbeats over all of them.
+ */
+const HEARTBEAT_INTERVAL_PER_LINK_MS = 8;
 
-/** A link that has been silent for so many heartbeats is given up. */
+/** A link without any message for this many heartbeat intervals is closed. */
 const SILENCE_HEARTBEATS = 2.5;
 
-const NO_LOAD: LoadReport = {
+/** Load assumed for a sidecar until its first report arrives. */
+const INITIAL_LOAD: LoadReport = {
   state: SidecarState.SERVING,
   queued: 0,
   running: 0,
@@ -66,24 +73,32 @@
   maxBatch: 1,
 };
 
-/** One sidecar as this entry sees it, with the task that keeps a link to it. */
+/**
+ * A sidecar known to this entry, and the task that maintains the link to it.
+ */
 export class SidecarPeer {
   private link: Link | undefined;
   private readonly calls = new Map<number, AsyncQueue<CallMessage>>();
   private readonly stopped = new AbortController();
-  private readonly openWaiters = new Set<() => void>();
+  private readonly linkOpenListeners = new Set<() => void>();
   private nextCallId = 1;
-  private heardMs = 0;
-  private reportedMs = 0;
+  private lastMessageAtMs = 0;
+  private lastReportAtMs = 0;
   private pingSequence = 0;
-  private report: LoadReport = NO_LOAD;
+  private report: LoadReport = INITIAL_LOAD;
   identity: SidecarIdentity | undefined;
   grants: readonly SlotGrant[] = [];
-  /** What this entry sent here of late. */
-  readonly prefixes: PrefixHints;
-  /** Expected tokens sent since the last report. */
+  /**
+   * Prompt prefixes that this entry sent here recently, which may still be
+   * cached.
+   */
+  readonly prefixHints: PrefixHints;
+  /** Expected tokens of the requests sent since the last load report. */
   unreportedTokens = 0;
-  /** False once the membership list says that the instance leaves. */
+  /**
+   * False once the instance is marked as leaving, or is no longer among the
+   * sidecars that this entry links to.
+   */
   isListed = true;
 
   constructor(
@@ -92,8 +107,9 @@
     private readonly settings: EntrySettings,
     private readonly events: PeerEvents,
   ) {
-    this.prefixes = new PrefixHints(ports.clock);
-    // Each stream that waits for this peer listens to its end.
+    this.prefixHints = new PrefixHints(ports.clock);
+    // Every stream that waits for the link adds a listener, and Node would warn
+    // about more than ten.
     setMaxListeners(0, this.stopped.signal);
     void this.run();
   }
@@ -102,7 +118,7 @@
     return this.link?.isOpen === true;
   }
 
-  /** True while new work may be sent here. */
+  /** True while this sidecar accepts new work. */
   get isServing(): boolean {
     return (
       this.isOpen && this.isListed && this.report.state === SidecarState.SERVING
@@ -118,14 +134,14 @@
   }
 
   get reportAgeMs(): number {
-    return this.ports.clock.nowMs() - this.reportedMs;
+    return this.ports.clock.nowMs() - this.lastReportAtMs;
   }
 
   get controlBytes(): number {
     return this.link?.traffic.sentControlBytes ?? 0;
   }
 
-  /** Opens a call; undefined when there is no link. */
+  /** Opens a call; undefined when the link is not open. */
   openCall(): OpenCall | undefined {
     const link = this.link;
     if (link?.isOpen !== true) return undefined;
@@ -146,18 +162,24 @@
     this.link?.send(message);
   }
 
-  /** Resolves to true once a link is open, or to false after `limitMs`. */
-  async waitUntilOpen(limitMs: number, signal?: AbortSignal): Promise<boolean> {
+  /**
+   * Waits for the link to open, at most `timeoutMs`, and returns whether it is
+   * open. Ends early if `signal` aborts or the peer is stopped.
+   */
+  async waitUntilOpen(
+    timeoutMs: number,
+    signal?: AbortSignal,
+  ): Promise<boolean> {
     if (this.isOpen) return true;
-    const opened = new AbortController();
-    const onOpen = (): void => opened.abort();
-    this.openWaiters.add(onOpen);
-    signal?.addEventListener('abort', onOpen, {once: true});
-    this.stopped.signal.addEventListener('abort', onOpen, {once: true});
-    await sleep(this.ports.clock, limitMs, opened.signal);
-    this.openWaiters.delete(onOpen);
-    signal?.removeEventListener('abort', onOpen);
-    this.stopped.signal.removeEventListener('abort', onOpen);
+    const waitAbort = new AbortController();
+    const endWait = (): void => waitAbort.abort();
+    this.linkOpenListeners.add(endWait);
+    signal?.addEventListener('abort', endWait, {once: true});
+    this.stopped.signal.addEventListener('abort', endWait, {once: true});
+    await sleep(this.ports.clock, timeoutMs, waitAbort.signal);
+    this.linkOpenListeners.delete(endWait);
+    signal?.removeEventListener('abort', endWait);
+    this.stopped.signal.removeEventListener('abort', endWait);
     return this.isOpen;
   }
 
@@ -166,7 +188,10 @@
     this.link?.close({kind: 'closed', detail: 'entry stopped'});
   }
 
-  /** Keeps a link until stopped: dial, greet, read, wait, and again. */
+  /**
+   * Connects and reads until the link ends, then reconnects after a backoff,
+   * until stopped.
+   */
   private async run(): Promise<void> {
     const {clock, random, logger} = this.ports;
     const log = logger.part('link');
@@ -177,14 +202,14 @@
         attempt = 0;
         await this.read(link);
       } catch (error) {
-        log.debug('Link not opened.', {
+        log.debug('Could not open the link.', {
           peer: this.member.instanceId,
           error: String(error),
         });
       }
       await sleep(
         clock,
-        backoffMs(RECONNECT, attempt++, random),
+        backoffMs(RECONNECT_BACKOFF, attempt++, random),
         this.stopped.signal,
       );
     }
@@ -193,46 +218,46 @@
   private async connect(): Promise<Link> {
     const {host, port} = this.member;
     const link = await this.ports.dialer.dial({host, port});
-    const cancel = this.ports.clock.after(GREETING_TIMEOUT_MS, () => {
+    const cancel = this.ports.clock.after(HANDSHAKE_TIMEOUT_MS, () => {
       link.close({kind: 'closed', detail: 'greeting took too long'});
     });
-    const greeting = await greetSidecar(
+    const handshake = await greetSidecar(
       link,
       {instanceId: this.settings.instanceId, zone: this.settings.zone},
       this.settings.linkKey,
     );
     cancel();
-    if (!greeting.ok || this.stopped.signal.aborted) {
-      const detail = greeting.ok ? 'stopped' : greeting.detail;
+    if (!handshake.ok || this.stopped.signal.aborted) {
+      const detail = handshake.ok ? 'stopped' : handshake.detail;
       link.close({kind: 'unauthenticated', detail});
       throw new Error(detail);
     }
-    this.identity = greeting.peer;
+    this.identity = handshake.peer;
     return link;
   }
 
   private async read(link: Link): Promise<void> {
     this.link = link;
-    this.heardMs = this.ports.clock.nowMs();
+    this.lastMessageAtMs = this.ports.clock.nowMs();
     this.ports.logger.part('link').info('Link opened.', {
       peer: this.member.instanceId,
       incarnation: this.identity?.incarnation,
     });
-    for (const wake of this.openWaiters) wake();
+    for (const notifyOpen of this.linkOpenListeners) notifyOpen();
     this.events.onChange();
     const ended = new AbortController();
-    const heartbeat = this.heartbeat(link, ended.signal);
+    const heartbeats = this.sendHeartbeats(link, ended.signal);
     link.send({type: 'configOffer', revision: this.events.knownRevision()});
     for await (const message of link.receive()) {
-      this.heardMs = this.ports.clock.nowMs();
-      this.handle(link, message as SidecarMessage);
+      this.lastMessageAtMs = this.ports.clock.nowMs();
+      this.handleMessage(link, message as SidecarMessage);
     }
     ended.abort();
-    this.loseLink(link);
-    await heartbeat;
+    this.handleLinkLoss(link);
+    await heartbeats;
   }
 
-  private loseLink(link: Link): void {
+  private handleLinkLoss(link: Link): void {
     if (this.link === link) this.link = undefined;
     this.grants = [];
     const calls = [...this.calls.values()];
@@ -241,26 +266,26 @@
     this.events.onChange();
   }
 
-  private async heartbeat(link: Link, ended: AbortSignal): Promise<void> {
+  private async sendHeartbeats(link: Link, ended: AbortSignal): Promise<void> {
     const {clock} = this.ports;
     while (link.isOpen) {
-      const heartbeatMs = Math.max(
-        HEARTBEAT_MS,
-        HEARTBEAT_PER_LINK_MS * this.events.linkCount(),
+      const intervalMs = Math.max(
+        MIN_HEARTBEAT_INTERVAL_MS,
+        HEARTBEAT_INTERVAL_PER_LINK_MS * this.events.linkCount(),
       );
-      const silentMs = clock.nowMs() - this.heardMs;
-      if (silentMs > SILENCE_HEARTBEATS * heartbeatMs) {
+      const silentMs = clock.nowMs() - this.lastMessageAtMs;
+      if (silentMs > SILENCE_HEARTBEATS * intervalMs) {
         link.close({kind: 'closed', detail: 'peer is silent'});
         return;
       }
       const sequence = ++this.pingSequence;
       const revision = this.events.knownRevision();
       link.send({type: 'ping', sequence, revision});
-      await sleep(clock, heartbeatMs, ended);
+      await sleep(clock, intervalMs, ended);
     }
   }
 
-  private handle(link: Link, message: SidecarMessage): void {
+  private handleMessage(link: Link, message: SidecarMessage): void {
     switch (message.type) {
       case 'accepted':
       case 'tokens':
@@ -271,7 +296,7 @@
         return;
       case 'report':
         this.report = message.load;
-        this.reportedMs = this.ports.clock.nowMs();
+        this.lastReportAtMs = this.ports.clock.nowMs();
         this.unreportedTokens = 0;
         this.events.onChange();
         return;
@@ -290,7 +315,7 @@
         this.events.onConfig(this, message);
         return;
       default:
-        // Messages of the other direction have no place here.
+        // Only an entry sends the other message types.
         link.close({kind: 'malformed', detail: `unexpected ${message.type}`});
     }
   }
