--- a/packages/config/src/fleetConfig.ts
+++ b/packages/config/src/fleetConfig.ts
@@ -127,7 +127,7 @@
       context.addIssue({
         code: 'custom',
         path: ['organisations', index, 'id'],
-        message: `duplicate organisation "${id}"`,
+        message: `organisation "${id}" stands twice`,
       });
     }
     seen.add(id);
--- a/packages/entry/src/createEntry.ts
+++ b/packages/entry/src/createEntry.ts
@@ -196,7 +196,7 @@
       organisation.limits,
     );
     if (admission.outcome === 'refused') {
-      const detail = `the organisation has reached its limit: ${admission.reason}`;
+      const detail = `the organisation's limit is reached: ${admission.reason}`;
       const failure = notRun(
         FailureKind.LIMIT_REACHED,
         detail,
--- a/packages/entry/src/relayCall.ts
+++ b/packages/entry/src/relayCall.ts
@@ -88,11 +88,7 @@
     if (!isLinkLost(answer)) return answer;
     const isOpen = await peer.waitUntilOpen(RECONNECT_TIMEOUT_MS);
     if (!isOpen || peer.identity!.incarnation !== incarnation) return answer;
-    context.decisions.note(
-      request.requestId,
-      'sent again',
-      'the link was lost',
-    );
+    context.decisions.note(request.requestId, 'asked again', 'link was lost');
     const nextAnswer = await callOnce(peer, request);
     answer = keepUncertainVerdict(answer, nextAnswer);
   }
--- a/packages/entry/src/relayGeneration.ts
+++ b/packages/entry/src/relayGeneration.ts
@@ -108,9 +108,7 @@
   if (point?.organisationId !== request.organisation.id) {
     yield {
       type: 'failed',
-      failure: resumeRefusedFailure(
-        'the event id is not valid for this organisation',
-      ),
+      failure: resumeRefusedFailure('the event id is not yours'),
     };
     return;
   }
@@ -172,7 +170,7 @@
     return false;
   }
   context.metrics.retries.inc({cause: failure.kind});
-  context.decisions.note(state.requestId, 'retried', failure.detail);
+  context.decisions.note(state.requestId, 'tried again', failure.detail);
   return true;
 }
 
@@ -338,7 +336,7 @@
       // The sidecar sends in order from the requested offset; any other offset
       // would duplicate or lose tokens.
       if (message.offset !== offset) {
-        return endpointFailedResult('the endpoint sent tokens out of order');
+        return endpointFailedResult('the stream lost its order');
       }
       state.offset += message.texts.length;
       const {streamTag} = state.binding!;
@@ -350,9 +348,7 @@
     }
     case 'done':
       if (message.offset !== state.offset) {
-        return endpointFailedResult(
-          'the endpoint ended the stream before its last token was received',
-        );
+        return endpointFailedResult('the stream ended before its last token');
       }
       return {
         kind: 'end',
@@ -370,9 +366,7 @@
     case 'linkLost':
       return {kind: 'linkLost'};
     case 'result':
-      return endpointFailedResult(
-        'the endpoint answered a generation with the result of a plain call',
-      );
+      return endpointFailedResult('an answer of another kind');
     default:
       return assertNever(message);
   }
