--- a/packages-private/soak/src/__tests__/denialLedger.test.ts
+++ b/packages-private/soak/src/__tests__/denialLedger.test.ts
@@ -24,13 +24,13 @@
 }
 
 describe('DenialLedger', () => {
-  it('accepts five and one in five hundred', () => {
+  it('tolerates five and one in five hundred', () => {
     answer(993, 200, 's-b-1');
     answer(7, 404);
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('tells of more, with the first of them', () => {
+  it('reports more, with the first three of them', () => {
     answer(992, 200, 's-b-1');
     answer(8, 404);
     expect(ledger.violations()).toEqual([
@@ -38,7 +38,7 @@
     ]);
   });
 
-  it('counts no promises, no failures and no answers of endpoints', () => {
+  it('counts neither not-run statuses nor failures nor answers of endpoints', () => {
     answer(20, 429);
     answer(20, 503);
     answer(20, 404, 's-b-1');
--- a/packages-private/soak/src/__tests__/goneLedger.test.ts
+++ b/packages-private/soak/src/__tests__/goneLedger.test.ts
@@ -11,29 +11,29 @@
   nextId = 0;
 });
 
-/** A request whose caller left, and the work for it. */
+/** Records a request whose caller left at `LEFT_MS`, and the work for it. */
 function work(beganAtMs: number, endedAtMs: number, isDone = false): void {
   const id = `r-${nextId++}`;
-  if (beganAtMs <= LEFT_MS) ledger.noteBegun(id, beganAtMs);
+  if (beganAtMs <= LEFT_MS) ledger.noteWorkBegun(id, beganAtMs);
   ledger.noteLeft(id, LEFT_MS);
-  if (beganAtMs > LEFT_MS) ledger.noteBegun(id, beganAtMs);
-  ledger.noteEnded(id, endedAtMs, isDone);
+  if (beganAtMs > LEFT_MS) ledger.noteWorkBegun(id, beganAtMs);
+  ledger.noteWorkEnded(id, endedAtMs, isDone);
 }
 
-describe('GoneLedger', () => {
-  it('accepts work that is broken off soon', () => {
+describe('DisconnectLedger', () => {
+  it('accepts work that is cancelled soon', () => {
     for (let count = 0; count < 8; count++) work(500, LEFT_MS + 100);
     expect(ledger.judgedCount).toBe(8);
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('does not judge work that was done soon, or before', () => {
+  it('does not judge work that is completed soon after, or before, the caller leaves', () => {
     work(500, LEFT_MS + 100, true);
     work(500, LEFT_MS - 100, true);
     expect(ledger.judgedCount).toBe(0);
   });
 
-  it('tells of more than a quarter that goes on', () => {
+  it('reports when more than a quarter of the work goes on', () => {
     for (let count = 0; count < 3; count++) work(500, LEFT_MS + 100);
     work(500, LEFT_MS + 600);
     expect(ledger.violations()).toEqual([]);
@@ -43,7 +43,7 @@
     ]);
   });
 
-  it('tells of requests that arrive long after their callers left', () => {
+  it('reports requests that start long after their callers left', () => {
     for (let count = 0; count < 20; count++) work(500, LEFT_MS + 100);
     for (let count = 0; count < 4; count++) work(LEFT_MS + 600, LEFT_MS + 700);
     expect(ledger.violations()).toEqual([
@@ -51,7 +51,7 @@
     ]);
   });
 
-  it('judges nothing beside a disturbance', () => {
+  it('judges nothing during or soon after a disturbance', () => {
     ledger.noteDisturbed(0, LEFT_MS - 500);
     work(500, LEFT_MS + 5_000);
     expect(ledger.judgedCount).toBe(0);
--- a/packages-private/soak/src/__tests__/judgeEvents.test.ts
+++ b/packages-private/soak/src/__tests__/judgeEvents.test.ts
@@ -24,37 +24,40 @@
 }
 
 describe('judgeEvents', () => {
-  it('finds nothing in a stream that holds', () => {
+  it('finds no violation in a stream that keeps the promises', () => {
     const verdict = judgeEvents(linesOf(SENT, RUN));
     expect(verdict.violations).toEqual([]);
     expect(verdict.events).toBe(2);
   });
 
-  it('finds what is broken in one that does not', () => {
+  it('reports the violation in one that does not', () => {
     const verdict = judgeEvents(linesOf(SENT, RUN, RUN));
     expect(verdict.violations).toEqual(['booking r1 ran 2 times']);
   });
 
-  it('names judges that saw nothing to judge', () => {
+  it('lists judges that had no events to check', () => {
     const {idleJudges} = judgeEvents(linesOf(SENT, RUN));
     expect(idleJudges).toContain('repeats');
     expect(idleJudges).not.toContain('runs');
   });
 
-  describe('of a stream that is bad', () => {
+  describe('with an invalid stream', () => {
     it.each([
-      ['a line that ends in the middle', JSON.stringify(RUN).slice(0, 30)],
-      ['no event', '{"type": "unknown"}'],
+      ['an incomplete line', JSON.stringify(RUN).slice(0, 30)],
+      ['an unknown event type', '{"type": "unknown"}'],
       ['null', 'null'],
       ['a missing field', '{"type": "sent", "atMs": 0, "kind": "draft"}'],
-      ['a field of another type', JSON.stringify({...RUN, atMs: 'soon'})],
-      ['a word that is none', JSON.stringify({...SENT, kind: 'song'})],
-      ['two kinds of one request', JSON.stringify({...SENT, kind: 'draft'})],
+      ['a field of the wrong type', JSON.stringify({...RUN, atMs: 'soon'})],
+      ['a value that is not allowed', JSON.stringify({...SENT, kind: 'song'})],
       [
-        'the end of what never began',
+        'a second kind for one request',
+        JSON.stringify({...SENT, kind: 'draft'}),
+      ],
+      [
+        'the end of a run that never began',
         '{"type": "runEnded", "atMs": 5, "requestId": "r2", "isDone": true}',
       ],
-    ])('names the line with %s', (_name, bad) => {
+    ])('names the line that has %s', (_name, bad) => {
       const lines = [...linesOf(SENT, RUN), bad];
       expect(() => judgeEvents(lines)).toThrow(/^line 3: /);
     });
--- a/packages-private/soak/src/__tests__/ledger.test.ts
+++ b/packages-private/soak/src/__tests__/ledger.test.ts
@@ -46,14 +46,14 @@
 }
 
 describe('Ledger', () => {
-  it('accepts what is as promised', () => {
+  it('accepts what keeps the promises', () => {
     attempt(AskKind.DRAFT, {body: events(1, 2)});
     run('r1');
     run('r1', {isContinued: true});
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('accepts a draft that broke off and says so', () => {
+  it('accepts a draft that was visibly cut off', () => {
     attempt(AskKind.DRAFT, {body: events(1), isComplete: false});
     expect(ledger.violations()).toEqual([]);
   });
@@ -61,14 +61,17 @@
   it.each([
     ['an event twice', events(1, 1, 2)],
     ['a missing event', events(1, 3)],
-    ['an early end', events(1)],
-    ['another’s event', 'id: 1\ndata: r9 1\n\nid: 2\ndata: r1 2\n\n'],
-  ])('tells of %s in a draft', (_what, body) => {
+    ['too few events', events(1)],
+    [
+      'an event of another request',
+      'id: 1\ndata: r9 1\n\nid: 2\ndata: r1 2\n\n',
+    ],
+  ])('reports %s in a draft', (_what, body) => {
     attempt(AskKind.DRAFT, {body});
     expect(ledger.violations()).toHaveLength(1);
   });
 
-  it('tells of a booking that ran twice, and not of a look-up', () => {
+  it('reports a booking that ran twice, but not a look-up', () => {
     attempt(AskKind.BOOKING, {body: 'answer of e-1 to r1'});
     run('r1');
     run('r1');
@@ -81,30 +84,30 @@
     expect(other.violations()).toEqual([]);
   });
 
-  it('tells of a look-up that ran more often than its route allows', () => {
+  it('reports a look-up that ran more often than its route allows', () => {
     ledger.note({type: 'sent', atMs: 0, requestId: 'r1', kind: AskKind.LOOKUP});
     for (let count = 0; count < 3; count++) run('r1');
     expect(ledger.violations()).toEqual(['lookup r1 ran 3 times']);
   });
 
-  it('tells of a refusal of what has run', () => {
+  it('reports a refusal of a request that has run', () => {
     attempt(AskKind.BOOKING, {status: 503, body: ''});
     expect(ledger.violations()).toEqual([]);
     run('r1');
     expect(ledger.violations()).toHaveLength(1);
   });
 
-  it('tells of an answer that belongs to another request', () => {
+  it('reports an answer that belongs to another request', () => {
     attempt(AskKind.BOOKING, {body: 'answer of e-1 to r2'});
     expect(ledger.violations()).toHaveLength(1);
   });
 
-  it('tells of a run that nobody asked for', () => {
+  it('reports a run of a request that no caller sent', () => {
     run('forged');
     expect(ledger.violations()).toHaveLength(1);
   });
 
-  it('tells of a key or a wrong organisation at an endpoint', () => {
+  it('reports an API key or a wrong organisation at an endpoint', () => {
     attempt(AskKind.BOOKING, {body: 'answer of e-1 to r1'});
     run('r1', {hasKey: true, organisation: 'other'});
     expect(ledger.violations()).toHaveLength(2);
@@ -126,7 +129,7 @@
       expect(ledger.violations()).toEqual([]);
     });
 
-    it('is allowed once it has started again, and not before', () => {
+    it('is allowed once the endpoint has started again, but not before', () => {
       ledger.leaves.noteBack('e-1', 13_000);
       run('r1', {atMs: 13_400});
       expect(ledger.violations()).toEqual([]);
@@ -135,13 +138,13 @@
       expect(ledger.violations()).toHaveLength(1);
     });
 
-    it('is excused until a while after a disturbance', () => {
+    it('is allowed soon after a disturbance', () => {
       ledger.leaves.noteDisturbed(6_000, 8_000);
       run('r1', {atMs: 12_400});
       expect(ledger.violations()).toEqual([]);
     });
 
-    it('is not excused by one that is long over', () => {
+    it('is too late when the disturbance is long over', () => {
       ledger.leaves.noteDisturbed(1_000, 6_000);
       run('r1', {atMs: 12_400});
       expect(ledger.violations()).toHaveLength(1);
--- a/packages-private/soak/src/__tests__/limitLedger.test.ts
+++ b/packages-private/soak/src/__tests__/limitLedger.test.ts
@@ -4,20 +4,20 @@
 const PER_S = 2;
 const ALLOWED = 17;
 
-/** By then the entry was told, and the endpoint named its rate, long enough ago. */
+/** By then, entries must keep the limit that was announced at 0. */
 const SETTLED_MS = 4_000;
 
 let ledger: LimitLedger;
-let asked: number;
+let requestCount: number;
 
 beforeEach(() => {
   ledger = new LimitLedger();
-  asked = 0;
+  requestCount = 0;
   arrive(1, 0);
-  ledger.notePassedOn('r-0', 'e-1', 10);
+  ledger.noteForwarded('r-0', 'e-1', 10);
 });
 
-/** Requests of an entry that reach the endpoint at one moment. */
+/** Sends requests of an entry that all reach the endpoint at `atMs`. */
 function arrive(
   count: number,
   atMs: number,
@@ -25,7 +25,7 @@
   perS: number | undefined = PER_S,
 ): void {
   for (let sent = 0; sent < count; sent++) {
-    const requestId = `r-${asked++}`;
+    const requestId = `r-${requestCount++}`;
     ledger.noteSent(requestId, entry);
     ledger.noteArrival('e-1', {atMs, requestId, perS});
   }
@@ -38,7 +38,7 @@
     expect(ledger.judgedCount).toBe(1 + ALLOWED);
   });
 
-  it('tells of one more, with the endpoint', () => {
+  it('reports one more, with the endpoint', () => {
     arrive(ALLOWED, SETTLED_MS);
     arrive(1, SETTLED_MS + LIMIT_WINDOW_MS - 1);
     expect(ledger.violations()).toEqual([
@@ -46,33 +46,33 @@
     ]);
   });
 
-  it('accepts it in the next window', () => {
+  it('accepts one more in the next window', () => {
     arrive(ALLOWED, SETTLED_MS);
     arrive(1, SETTLED_MS + LIMIT_WINDOW_MS);
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('sums over the entries that have passed such an answer on', () => {
+  it('sums over the entries that have forwarded an announcement', () => {
     arrive(1, 0, 'entry-1');
-    ledger.notePassedOn('r-1', 'e-1', 10);
+    ledger.noteForwarded('r-1', 'e-1', 10);
     arrive(ALLOWED, SETTLED_MS);
     arrive(1, SETTLED_MS, 'entry-1');
     expect(ledger.violations()).toHaveLength(1);
   });
 
-  it('counts no entry that has passed none on', () => {
+  it('does not count an entry that has forwarded no announcement', () => {
     arrive(ALLOWED, SETTLED_MS);
     arrive(20, SETTLED_MS, 'entry-1');
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('counts no entry that has started anew since', () => {
+  it('does not count an entry that has restarted since', () => {
     ledger.noteEntryEnded('entry-0', SETTLED_MS - 1);
     arrive(ALLOWED + 9, SETTLED_MS);
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('judges nothing once an answer names no rate', () => {
+  it('judges nothing once an answer announces no rate', () => {
     arrive(1, SETTLED_MS - 1, 'entry-0', undefined);
     ledger.noteArrival('e-1', {
       atMs: SETTLED_MS - 1,
--- a/packages-private/soak/src/__tests__/repeatLedger.test.ts
+++ b/packages-private/soak/src/__tests__/repeatLedger.test.ts
@@ -10,7 +10,7 @@
   ledger.retrySlack = RETRY_SLACK;
 });
 
-/** One request that reaches endpoints `sends` times at one moment. */
+/** Records one request that reaches endpoints `sends` times at `atMs`. */
 function arrive(sends: number, atMs: number, service = 'drafts'): void {
   for (let send = 0; send < sends; send++) {
     ledger.noteArrival(service, `${service} ${atMs}`, atMs);
@@ -29,27 +29,27 @@
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('tells of one more, with the service', () => {
+  it('reports one more, with the service', () => {
     arrive(1 + RETRY_SLACK, 1_000);
     arrive(2, 1_000 + RETRY_WINDOW_MS - 1);
-    const [broken, ...others] = ledger.violations();
-    expect(broken).toContain(`drafts: ${RETRY_SLACK + 1} sends`);
+    const [violation, ...others] = ledger.violations();
+    expect(violation).toContain(`drafts: ${RETRY_SLACK + 1} sends`);
     expect(others).toEqual([]);
   });
 
-  it('accepts it in the next window', () => {
+  it('accepts one more in the next window', () => {
     arrive(1 + RETRY_SLACK, 1_000);
     arrive(2, 1_000 + RETRY_WINDOW_MS);
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('counts services apart', () => {
+  it('counts each service separately', () => {
     arrive(1 + RETRY_SLACK, 1_000);
     arrive(1 + RETRY_SLACK, 1_000, 'bookings');
     expect(ledger.violations()).toEqual([]);
   });
 
-  it('allows a fifth of the requests besides, of the window before too', () => {
+  it('also allows a fifth of the requests of this or the previous window', () => {
     for (let count = 0; count < 10; count++) ledger.noteRequest('drafts', 0);
     arrive(1 + RETRY_SLACK + 2, RETRY_WINDOW_MS - 1);
     expect(ledger.violations()).toEqual([]);
--- a/packages-private/soak/src/answerFaults.ts
+++ b/packages-private/soak/src/answerFaults.ts
@@ -2,55 +2,57 @@
 import type {Random} from '@lilacledge/shared';
 import type {PlannedFault} from './faultPlan.js';
 
-/** An endpoint says something of itself in each of its answers. */
+/** What an endpoint announces about itself in each of its answers. */
 export type AnswerFault =
-  /** Requests a second that it takes from all entries. */
+  /** The requests per second that it accepts from all entries together. */
   | {readonly kind: 'endpointNamesRate'; readonly perS: number}
-  /** It leaves, and the store hears of it later. */
+  /** It is leaving; the store learns of it later. */
   | {readonly kind: 'endpointSaysLeave'}
-  /** It rejects all that it gets, and asks for rest each time. */
+  /** It rejects every request and asks for a backoff each time. */
   | {readonly kind: 'endpointAsksRest'; readonly restS: number};
 
-/** Rates that endpoints name, some below one request in a window. */
-const RATES_PER_S = [0, 0.05, 0.5, 1.9, 2.9, 6, 12] as const;
+/** Some of the rates allow less than one request in a window of the limit. */
+const ANNOUNCED_RATES_PER_S = [0, 0.05, 0.5, 1.9, 2.9, 6, 12] as const;
 
-/** Part of the statements by which an endpoint leaves. */
+/** Share of the announcements by which an endpoint leaves. */
 const LEAVE_SHARE = 0.2;
 
-/** Part of the statements that ask for rest. */
-const REST_SHARE = 0.3;
+/** Share of the announcements that ask for a backoff. */
+const BACKOFF_SHARE = 0.3;
 
-/** Rests that endpoints ask for; within the first nothing is judged. */
-const RESTS_S = [0.4, 1.5, 3] as const;
+/** Requested backoffs; the shortest ends before `RestLedger` begins to count. */
+const BACKOFFS_S = [0.4, 1.5, 3] as const;
 
-/** Mean pause between the beginnings of two statements. */
-const MEAN_GAP_MS = 350;
+/** Mean time between the starts of two announcements. */
+const MEAN_INTERVAL_MS = 350;
 
-/** Statements last for some time between these. */
-const SHORTEST_MS = 500;
-const LONGEST_MS = 9_000;
+/** Bounds of how long an endpoint repeats an announcement. */
+const MIN_DURATION_MS = 500;
+const MAX_DURATION_MS = 9_000;
 
-/** Mean pause between two entries that end and start anew. */
-const MEAN_END_GAP_MS = 2_500;
+/** Mean time between two restarts of entries. */
+const MEAN_EXIT_INTERVAL_MS = 2_500;
 
-/** Apart from other faults, so that a seed's own faults stay what they were. */
+/** Separates this random sequence from those of the other fault plans with the same seed. */
 const SEED_OFFSET = 5_000_011;
 
-/** What endpoints say of themselves in their answers, while entries end and start anew. */
+/** Plans what endpoints announce in their answers while entries are restarted. */
 export function planAnswerFaults(
   seed: number,
   durationMs: number,
 ): PlannedFault[] {
   const random = createRandom(seed + SEED_OFFSET);
-  const statements = drawTimes(random, MEAN_GAP_MS, durationMs).map(
+  const announcements = drawTimes(random, MEAN_INTERVAL_MS, durationMs).map(
     (atMs): PlannedFault => ({
-      what: drawStatement(random),
+      what: drawAnnouncement(random),
       atMs,
-      forMs: Math.round(SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS)),
+      forMs: Math.round(
+        MIN_DURATION_MS + random() * (MAX_DURATION_MS - MIN_DURATION_MS),
+      ),
       target: Math.floor(random() * 1_000),
     }),
   );
-  const ends = drawTimes(random, MEAN_END_GAP_MS, durationMs).map(
+  const exits = drawTimes(random, MEAN_EXIT_INTERVAL_MS, durationMs).map(
     (atMs): PlannedFault => ({
       what: {kind: random() < 0.5 ? 'entryKilled' : 'entryStopped'},
       atMs,
@@ -58,19 +60,22 @@
       target: Math.floor(random() * 1_000),
     }),
   );
-  return [...statements, ...ends].sort((a, b) => a.atMs - b.atMs);
+  return [...announcements, ...exits].sort((a, b) => a.atMs - b.atMs);
 }
 
-function drawStatement(random: Random): AnswerFault {
+function drawAnnouncement(random: Random): AnswerFault {
   const draw = random();
   if (draw < LEAVE_SHARE) return {kind: 'endpointSaysLeave'};
-  if (draw < LEAVE_SHARE + REST_SHARE) {
-    return {kind: 'endpointAsksRest', restS: drawn(random, RESTS_S)};
+  if (draw < LEAVE_SHARE + BACKOFF_SHARE) {
+    return {kind: 'endpointAsksRest', restS: pickOne(random, BACKOFFS_S)};
   }
-  return {kind: 'endpointNamesRate', perS: drawn(random, RATES_PER_S)};
+  return {
+    kind: 'endpointNamesRate',
+    perS: pickOne(random, ANNOUNCED_RATES_PER_S),
+  };
 }
 
-/** Times in a span whose gaps are exponential around a mean. */
+/** Draws times up to `untilMs` with exponentially distributed gaps. */
 function drawTimes(random: Random, meanMs: number, untilMs: number): number[] {
   const times: number[] = [];
   const nextMs = (): number => -Math.log(1 - random()) * meanMs;
@@ -80,6 +85,6 @@
   return times;
 }
 
-function drawn<T>(random: Random, values: readonly T[]): T {
+function pickOne<T>(random: Random, values: readonly T[]): T {
   return values[Math.floor(random() * values.length)]!;
 }
--- a/packages-private/soak/src/bulkFaults.ts
+++ b/packages-private/soak/src/bulkFaults.ts
@@ -1,44 +1,46 @@
 import {createRandom} from '@lilacledge/shared';
 import type {PlannedFault} from './faultPlan.js';
 
-/** How much of a configuration there is, and what carries it. */
+/** The size of the configuration and the throughput of the links to the store. */
 export interface BulkSettings {
-  /** Routes that nobody asks for. */
+  /** Routes that no request matches. */
   readonly unusedRoutes: number;
-  /** What each program's link to the store carries of its answers. */
+  /** Throughput at which each program receives the answers of the store. */
   readonly bytesPerMs: number;
 }
 
-/** A small configuration over links that take no time. */
+/** A small configuration over links of unlimited throughput. */
 export const NO_BULK: BulkSettings = {
   unusedRoutes: 0,
   bytesPerMs: Number.POSITIVE_INFINITY,
 };
 
-/** A configuration of some 340 kB over the smallest links, of 10 Mbit/s. */
+/** A configuration of about 340 kB over the slowest links, of 10 Mbit/s. */
 export const BULK: BulkSettings = {unusedRoutes: 1_400, bytesPerMs: 1_250};
 
-/** Pause between two versions, and between two leaves of plain endpoints. */
-const VERSION_GAP_MS = 330;
-const LEAVE_GAP_MS = 1_100;
+/** Time between two versions of the configuration. */
+const VERSION_INTERVAL_MS = 330;
 
-/** Endpoints leave while a large configuration changes in series; nothing fails. */
+/** Mean time between two leaves of endpoints without a sidecar, drawn once for each run. */
+const LEAVE_INTERVAL_MS = 1_100;
+
+/** Plans endpoints that leave while a large configuration changes repeatedly; nothing fails. */
 export function planBulkFaults(
   seed: number,
   durationMs: number,
 ): PlannedFault[] {
   const random = createRandom(seed);
   const faults: PlannedFault[] = [];
-  const plan = (
+  const schedule = (
     kind: 'configChange' | 'serviceLeaves',
-    gapMs: number,
+    intervalMs: number,
   ): void => {
-    for (let atMs = gapMs; atMs < durationMs; atMs += gapMs) {
+    for (let atMs = intervalMs; atMs < durationMs; atMs += intervalMs) {
       const target = Math.floor(random() * 1_000);
       faults.push({what: {kind}, atMs: Math.round(atMs), forMs: 0, target});
     }
   };
-  plan('configChange', VERSION_GAP_MS);
-  plan('serviceLeaves', LEAVE_GAP_MS * (0.5 + random()));
+  schedule('configChange', VERSION_INTERVAL_MS);
+  schedule('serviceLeaves', LEAVE_INTERVAL_MS * (0.5 + random()));
   return faults.sort((a, b) => a.atMs - b.atMs);
 }
--- a/packages-private/soak/src/deadlineLedger.ts
+++ b/packages-private/soak/src/deadlineLedger.ts
@@ -1,30 +1,34 @@
-/** A time that is handed on may be this much longer than what is left (stated). */
+/** The requirements let the forwarded time exceed what is left by this much. */
 const TOLERANCE_MS = 500;
 
-/** Sends with too long a time that are borne, and their share of those that count (stated). */
-const MOST_WRONG = 20;
-const MOST_WRONG_SHARE = 0.2;
+/** The requirements tolerate this many sends with a wrong time, or this share of those judged. */
+const MAX_WRONG = 20;
+const MAX_WRONG_SHARE = 0.2;
 
-interface Sent {
-  /** The time that its caller gave it. */
-  readonly givenMs: number;
-  /** Its first arrival, once there was one. */
-  first: {readonly atMs: number; readonly endsAtMs: number} | undefined;
+interface SentRequest {
+  /** How long its caller waits for the answer. */
+  readonly callerTimeoutMs: number;
+  /** Its first arrival at an endpoint, and the deadline that this endpoint was given. */
+  firstArrival:
+    {readonly atMs: number; readonly deadlineAtMs: number} | undefined;
 }
 
-/** The times that endpoints are given for their work, against those of the callers. */
+/** Checks the time left that entries state to endpoints against the timeouts of the callers. */
 export class DeadlineLedger {
-  private readonly sent = new Map<string, Sent>();
-  private wrong = 0;
-  /** Sends that came once more later than the tolerance after the first. */
-  private lateRepeats = 0;
+  private readonly sent = new Map<string, SentRequest>();
+  private wrongCount = 0;
+  /** Retries that arrived later than the tolerance after the first arrival. */
+  private lateRetries = 0;
 
-  /** A caller gives a request so much time. */
-  noteSent(requestId: string, givenMs: number): void {
-    this.sent.set(requestId, {givenMs, first: undefined});
+  /** A caller sends a request with this timeout. */
+  noteSent(requestId: string, callerTimeoutMs: number): void {
+    this.sent.set(requestId, {
+      callerTimeoutMs,
+      firstArrival: undefined,
+    });
   }
 
-  /** An endpoint is given so much for it; undefined when it is not told. */
+  /** A request reaches an endpoint; `timeLeftMs` is undefined when the endpoint is told none. */
   noteArrival(
     requestId: string,
     atMs: number,
@@ -33,35 +37,37 @@
     const sent = this.sent.get(requestId);
     if (sent === undefined) return;
     const isLate =
-      sent.first !== undefined && atMs > sent.first.atMs + TOLERANCE_MS;
-    if (isLate) this.lateRepeats++;
-    if (isWrong(sent, atMs, timeLeftMs, isLate)) this.wrong++;
-    const endsAtMs = atMs + (timeLeftMs ?? sent.givenMs);
-    sent.first ??= {atMs, endsAtMs};
+      sent.firstArrival !== undefined &&
+      atMs > sent.firstArrival.atMs + TOLERANCE_MS;
+    if (isLate) this.lateRetries++;
+    if (isWrongTimeLeft(sent, atMs, timeLeftMs, isLate)) this.wrongCount++;
+    const deadlineAtMs = atMs + (timeLeftMs ?? sent.callerTimeoutMs);
+    sent.firstArrival ??= {atMs, deadlineAtMs};
   }
 
-  /** Sends that were judged against the first of their request. */
-  get lateRepeatCount(): number {
-    return this.lateRepeats;
+  /** Retries that were judged against the first arrival of their request. */
+  get lateRetryCount(): number {
+    return this.lateRetries;
   }
 
   violations(): string[] {
-    const counted = this.wrong + this.lateRepeats;
-    const isBorne =
-      this.wrong <= MOST_WRONG || this.wrong <= counted * MOST_WRONG_SHARE;
-    if (isBorne) return [];
-    return [`${this.wrong} sends had no time, or more than was left`];
+    const judgedCount = this.wrongCount + this.lateRetries;
+    const isTolerated =
+      this.wrongCount <= MAX_WRONG ||
+      this.wrongCount <= judgedCount * MAX_WRONG_SHARE;
+    if (isTolerated) return [];
+    return [`${this.wrongCount} sends had no time, or more than was left`];
   }
 }
 
-function isWrong(
-  {givenMs, first}: Sent,
+function isWrongTimeLeft(
+  {callerTimeoutMs, firstArrival}: SentRequest,
   atMs: number,
   timeLeftMs: number | undefined,
   isLate: boolean,
 ): boolean {
   if (timeLeftMs === undefined) return true;
-  if (timeLeftMs > givenMs + TOLERANCE_MS) return true;
-  if (!isLate || first === undefined) return false;
-  return atMs + timeLeftMs > first.endsAtMs + TOLERANCE_MS;
+  if (timeLeftMs > callerTimeoutMs + TOLERANCE_MS) return true;
+  if (!isLate || firstArrival === undefined) return false;
+  return atMs + timeLeftMs > firstArrival.deadlineAtMs + TOLERANCE_MS;
 }
--- a/packages-private/soak/src/deadlyLedger.ts
+++ b/packages-private/soak/src/deadlyLedger.ts
@@ -1,34 +1,36 @@
-/** Ends of endpoints under one request that its first tries may bring (stated). */
-const FREE_ENDS = 3;
+/** The requirements let the first attempts of one request crash this many engines. */
+const TOLERATED_CRASHES = 3;
 
-/** Sends more than that, after `KNOWN_AFTER_MS`, that are still borne (stated). */
-const MOST_LATER_ENDS = 3;
+/** The requirements tolerate this many crashes later than `PROPAGATION_MS`. */
+const MAX_LATER_CRASHES = 3;
 
-/** From the third end until every entry must know of it (stated). */
-const KNOWN_AFTER_MS = 3_000;
+/** Time from the third crash until every entry must have quarantined the request. */
+const PROPAGATION_MS = 3_000;
 
-/** The body of a request that ends each engine that begins to run it. */
+/** The body of the deadly request, which crashes each engine that begins to run it. */
 export const DEADLY_BODY = 'a prompt that ends its engine';
 
-/** The ends of engines under the deadly request. */
+/** Counts the engines that crash under the deadly request. */
 export class DeadlyLedger {
-  private readonly endsMs: number[] = [];
+  private readonly crashTimesMs: number[] = [];
 
-  noteEnd(atMs: number): void {
-    this.endsMs.push(atMs);
+  noteCrash(atMs: number): void {
+    this.crashTimesMs.push(atMs);
   }
 
   get count(): number {
-    return this.endsMs.length;
+    return this.crashTimesMs.length;
   }
 
   violations(): string[] {
-    const third = this.endsMs[FREE_ENDS - 1];
+    const third = this.crashTimesMs[TOLERATED_CRASHES - 1];
     if (third === undefined) return [];
-    const later = this.endsMs.filter((atMs) => atMs > third + KNOWN_AFTER_MS);
-    if (later.length <= MOST_LATER_ENDS) return [];
+    const later = this.crashTimesMs.filter(
+      (atMs) => atMs > third + PROPAGATION_MS,
+    );
+    if (later.length <= MAX_LATER_CRASHES) return [];
     return [
-      `${this.count} engines ended under one request, ${later.length} of them later than ${KNOWN_AFTER_MS} ms after the third`,
+      `${this.count} engines ended under one request, ${later.length} of them later than ${PROPAGATION_MS} ms after the third`,
     ];
   }
 }
--- a/packages-private/soak/src/denialLedger.ts
+++ b/packages-private/soak/src/denialLedger.ts
@@ -1,30 +1,31 @@
 import type {Attempt} from './soakEvent.js';
 
-/** So many of all requests may be denied though every configuration allows them (stated). */
-const FREE_DENIALS = 5;
-const DENIED_SHARE = 1 / 500;
+/** The requirements tolerate this number plus this share of wrongly denied requests. */
+const TOLERATED_DENIALS = 5;
+const DENIAL_SHARE = 1 / 500;
 
-/** Own answers of this kind that promise that nothing has run; they deny nothing. */
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429]);
+/** Statuses by which an entry states that the request has not run; they are no denials. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429]);
 
-/** Requests that an entry denies by itself; all that callers send is allowed. */
+/** Counts requests that entries deny themselves, though every configuration allows them all. */
 export class DenialLedger {
-  private asked = 0;
-  private readonly denied: string[] = [];
+  private total = 0;
+  private readonly denials: string[] = [];
 
   note({requestId, entry, status, signature}: Attempt): void {
-    this.asked++;
-    const isOwn = signature === undefined;
-    const isDenial = status >= 300 && status < 500 && !PROMISES.has(status);
-    if (isOwn && isDenial) {
-      this.denied.push(`${requestId} ${status} at ${entry}`);
+    this.total++;
+    const isFromEntry = signature === undefined;
+    const isDenial =
+      status >= 300 && status < 500 && !NOT_RUN_STATUSES.has(status);
+    if (isFromEntry && isDenial) {
+      this.denials.push(`${requestId} ${status} at ${entry}`);
     }
   }
 
   violations(): string[] {
-    const {asked, denied} = this;
-    if (denied.length <= FREE_DENIALS + asked * DENIED_SHARE) return [];
-    const first = denied.slice(0, 3).join('; ');
-    return [`${denied.length} of ${asked} requests were denied: ${first}`];
+    const {total, denials} = this;
+    if (denials.length <= TOLERATED_DENIALS + total * DENIAL_SHARE) return [];
+    const first = denials.slice(0, 3).join('; ');
+    return [`${denials.length} of ${total} requests were denied: ${first}`];
   }
 }
--- a/packages-private/soak/src/goneLedger.ts
+++ b/packages-private/soak/src/goneLedger.ts
@@ -1,23 +1,23 @@
 import {Disturbances} from './disturbances.js';
 import {SETTLE_MS} from './leaveLedger.js';
 
-/** Endpoints may work on for this long after a caller has left (stated). */
-const WORK_ON_MS = 500;
+/** The requirements let an endpoint work this long after its caller has disconnected. */
+const MAX_WORK_AFTER_LEAVE_MS = 500;
 
-/** Requests that reach an endpoint later than that and are borne: "a few" (stated). */
-const MOST_LATE_ARRIVALS = 3;
+/** The requirements tolerate "a few" requests that start later than that. */
+const MAX_LATE_ARRIVALS = 3;
 
-/** Part of the work that may go on for longer (stated). */
-const MOST_ON_SHARE = 0.25;
+/** The requirements let this share of the work go on for longer. */
+const MAX_CONTINUED_SHARE = 0.25;
 
 interface Work {
   readonly beganAtMs: number;
   endedAtMs: number;
-  /** True when it was done, and not broken off. */
+  /** True when it was completed, not cancelled. */
   isDone: boolean;
 }
 
-/** What endpoints do for callers that have left. */
+/** Checks the work that endpoints do for callers that have disconnected. */
 export class GoneLedger {
   private readonly leftAtMs = new Map<string, number>();
   private readonly work = new Map<string, Work[]>();
@@ -27,20 +27,20 @@
     this.disturbed.note(fromMs, untilMs + SETTLE_MS);
   }
 
-  /** A caller has closed its connection before its answer was whole. */
+  /** A caller has closed its connection before its answer was complete. */
   noteLeft(requestId: string, atMs: number): void {
     this.leftAtMs.set(requestId, atMs);
   }
 
   /** An endpoint begins to work on a request. */
-  noteBegun(requestId: string, beganAtMs: number): void {
+  noteWorkBegun(requestId: string, beganAtMs: number): void {
     const known = this.work.get(requestId) ?? [];
     known.push({beganAtMs, endedAtMs: Infinity, isDone: false});
     this.work.set(requestId, known);
   }
 
-  /** The oldest open work on a request ends. */
-  noteEnded(requestId: string, atMs: number, isDone: boolean): void {
+  /** The oldest unfinished work on a request ends. */
+  noteWorkEnded(requestId: string, atMs: number, isDone: boolean): void {
     const open = this.work
       .get(requestId)
       ?.find(({endedAtMs}) => endedAtMs === Infinity);
@@ -49,31 +49,38 @@
     open.isDone = isDone;
   }
 
-  /** Callers that left while an endpoint was at work, apart from disturbances. */
+  /** How often an endpoint was at work for a caller that had left, outside disturbances. */
   get judgedCount(): number {
     return this.judged().length;
   }
 
   violations(): string[] {
-    const judged = this.judged();
-    const late = judged.filter(({beganAfterMs}) => beganAfterMs > WORK_ON_MS);
-    const on = judged.filter(({endedAfterMs}) => endedAfterMs > WORK_ON_MS);
-    const broken: string[] = [];
-    if (late.length > MOST_LATE_ARRIVALS) {
-      broken.push(`${late.length} requests ran later than their callers left`);
+    const judgedWork = this.judged();
+    const late = judgedWork.filter(
+      ({beganAfterMs}) => beganAfterMs > MAX_WORK_AFTER_LEAVE_MS,
+    );
+    const continued = judgedWork.filter(
+      ({endedAfterMs}) => endedAfterMs > MAX_WORK_AFTER_LEAVE_MS,
+    );
+    const found: string[] = [];
+    if (late.length > MAX_LATE_ARRIVALS) {
+      found.push(`${late.length} requests ran later than their callers left`);
     }
-    if (on.length > judged.length * MOST_ON_SHARE) {
-      broken.push(
-        `${on.length} of ${judged.length} requests were worked on after their callers had left`,
+    if (continued.length > judgedWork.length * MAX_CONTINUED_SHARE) {
+      found.push(
+        `${continued.length} of ${judgedWork.length} requests were worked on after their callers had left`,
       );
     }
-    return broken;
+    return found;
   }
 
-  /** Work that ended by itself soon after its caller left would not have lasted so long. */
+  /**
+   * The work that went on when its caller left, or began later. Leaves out work that was completed
+   * within the bound: it shows nothing about cancellation.
+   */
   private judged(): Array<{beganAfterMs: number; endedAfterMs: number}> {
     return [...this.leftAtMs].flatMap(([requestId, leftAtMs]) => {
-      const soonMs = leftAtMs + WORK_ON_MS;
+      const soonMs = leftAtMs + MAX_WORK_AFTER_LEAVE_MS;
       if (this.disturbed.meets(leftAtMs, soonMs)) return [];
       return (this.work.get(requestId) ?? [])
         .filter(({endedAtMs}) => endedAtMs > leftAtMs)
--- a/packages-private/soak/src/judgeEvents.ts
+++ b/packages-private/soak/src/judgeEvents.ts
@@ -2,16 +2,16 @@
 import {parseSoakEvent, SoakEventError} from './soakEvent.js';
 import type {SoakEvent} from './soakEvent.js';
 
-/** What a kept stream of events shows. */
+/** The result of judging a recorded stream of events. */
 export interface StreamVerdict {
   readonly events: number;
   readonly violations: readonly string[];
-  /** Types of events that each judge needs and that never came: it judged nothing. */
+  /** Judges whose events never occurred, so that they checked nothing. */
   readonly idleJudges: readonly string[];
 }
 
-/** What each judge needs to see, by its promise. */
-const NEEDED: Readonly<Record<string, SoakEvent['type']>> = {
+/** The type of event that each judge needs, by the name of the judge. */
+const REQUIRED_EVENTS: Readonly<Record<string, SoakEvent['type']>> = {
   answers: 'attempt',
   runs: 'run',
   repeats: 'arrived',
@@ -21,7 +21,7 @@
   'callers that leave': 'callerLeft',
 };
 
-/** Judges a stream again; throws a `SoakEventError` that names the line. */
+/** Judges a recorded stream again; throws a `SoakEventError` that names the invalid line. */
 export function judgeEvents(lines: readonly string[]): StreamVerdict {
   const ledger = new Ledger();
   for (const [index, line] of lines.entries()) {
@@ -32,8 +32,8 @@
       throw new SoakEventError(`line ${index + 1}: ${error.message}`);
     }
   }
-  const idleJudges = Object.entries(NEEDED)
-    .filter(([, type]) => ledger.seenOf(type) === 0)
+  const idleJudges = Object.entries(REQUIRED_EVENTS)
+    .filter(([, type]) => ledger.eventCount(type) === 0)
     .map(([judge]) => judge);
   if (ledger.limits.judgedCount === 0) idleJudges.push('limits');
   if (ledger.saidLeaves.judgedCount === 0) idleJudges.push('said leaves');
--- a/packages-private/soak/src/leaveLedger.ts
+++ b/packages-private/soak/src/leaveLedger.ts
@@ -1,32 +1,29 @@
 import type {RecordedRun} from '@lilacledge/platform-standins';
 import {Disturbances} from './disturbances.js';
 
-/** Longest time in which a leaving endpoint may still get work (stated). */
+/** The requirements let a leaving endpoint get new work for this long. */
 export const DRAIN_MS = 2_000;
 
-/** From the end of a disturbance until bounds hold again (stated). */
+/** Time from the end of a disturbance until the bounds hold again. */
 export const SETTLE_MS = 3_000;
 
-/** A request may wait that long for the processor of a busy machine. */
-const SCHEDULING_MS = 250;
+/** Allows for processes that wait for the CPU of a busy machine. */
+const CPU_WAIT_MS = 250;
 
-/** A leave of an endpoint, and its return under the same id, if it came. */
+/** A leave of an endpoint or zone, and its return; infinite until it returns. */
 interface Leave {
   readonly leftAtMs: number;
   backAtMs: number;
 }
 
-/**
- * What may get no new work from when on, endpoints or zones by name, and which work
- * reached it too late.
- */
+/** Checks that leaving endpoints or evacuated zones, by name, get no new work after a bound. */
 export class LeaveLedger {
   private readonly leaves = new Map<string, Leave[]>();
   private readonly disturbed = new Disturbances();
 
   constructor(private readonly boundMs = DRAIN_MS) {}
 
-  /** The store took note of a leave; only the first word of it counts. */
+  /** The store has recorded a leave; later notices of the same leave are ignored. */
   noteLeft(endpointId: string, atMs: number): void {
     const known = this.leaves.get(endpointId) ?? [];
     this.leaves.set(endpointId, known);
@@ -34,18 +31,18 @@
     known.push({leftAtMs: atMs, backAtMs: Infinity});
   }
 
-  /** It has started again under its id and may get work. */
+  /** It has started again under the same name and may get work. */
   noteBack(endpointId: string, atMs: number): void {
     const last = this.leaves.get(endpointId)?.at(-1);
     if (last !== undefined) last.backAtMs = Math.min(last.backAtMs, atMs);
   }
 
-  /** Entries may not hear of leaves in this time, and for a while after it. */
+  /** Entries may miss leaves in this time and for `SETTLE_MS` after it. */
   noteDisturbed(fromMs: number, untilMs: number): void {
     this.disturbed.note(fromMs, untilMs + SETTLE_MS);
   }
 
-  /** How long after the leave of `name` a run began, if that is too late. */
+  /** How long after the leave of `name` a run began; undefined unless that was too late. */
   latenessMs(
     name: string,
     {atMs}: Pick<RecordedRun, 'atMs'>,
@@ -56,7 +53,7 @@
     if (leave === undefined) return undefined;
     const {leftAtMs} = leave;
     const afterMs = atMs - leftAtMs;
-    if (afterMs <= this.boundMs + SCHEDULING_MS) return undefined;
+    if (afterMs <= this.boundMs + CPU_WAIT_MS) return undefined;
     const isExcused = this.disturbed.meets(leftAtMs, atMs);
     return isExcused ? undefined : Math.round(afterMs);
   }
--- a/packages-private/soak/src/ledger.ts
+++ b/packages-private/soak/src/ledger.ts
@@ -14,34 +14,34 @@
 import type {Attempt, SoakEvent} from './soakEvent.js';
 import {EVACUATE_MS} from './zoneFaults.js';
 
-/** How often a request may begin to run, as its route says. */
-const MOST_RUNS: Readonly<Record<AskKind, number>> = {
+/** How often a request may be started, by the configuration of its route. */
+const MAX_RUNS: Readonly<Record<AskKind, number>> = {
   draft: 1,
   booking: 1,
   lookup: 2,
 };
 
-/** Timeouts of the routes, or the callers' own deadline where that is shorter. */
+/** Timeouts of the routes, or the callers' own timeout where that is shorter. */
 export const ROUTE_TIMEOUT_MS: Readonly<Record<AskKind, number>> = {
   draft: USUAL_DEADLINE_MS,
   booking: 2_000,
   lookup: 2_000,
 };
 
-/** A final answer comes within this time after the route's timeout (stated). */
-const ANSWERED_AFTER_MS = 500;
+/** The requirements let a final answer come this long after the route's timeout. */
+const MAX_ANSWER_DELAY_MS = 500;
 
-/** So many without an answer, and this part of those that last so long, are too many (stated). */
-const FEWEST_OVERDUE = 8;
-const MOST_OVERDUE_SHARE = 0.25;
+/** A violation takes this many overdue requests, and more than this share of the timed-out ones. */
+const MIN_OVERDUE = 8;
+const MAX_OVERDUE_SHARE = 0.25;
 
-/** Stand-ins sign with this and their id. */
-const SIGNATURE_START = 's-';
+/** Stand-in endpoints sign their answers with this prefix and their id. */
+const SIGNATURE_PREFIX = 's-';
 
-/** Statuses that promise that a request has not run and never will. */
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** Statuses by which an entry promises that a request has not run and never will. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** Everything that callers and endpoints saw in one soak. */
+/** Collects what callers and endpoints observed in one soak and checks the promises against it. */
 export class Ledger {
   readonly attempts: Attempt[] = [];
   readonly leaves = new LeaveLedger();
@@ -53,27 +53,31 @@
   readonly limits = new LimitLedger();
   readonly saidLeaves = new SaidLeaveLedger();
   readonly rests = new RestLedger();
-  /** Ends of programs that nobody asked for. */
-  readonly ownEnds: string[] = [];
-  /** Of zones, by name. */
+  /** Exits of programs that the soak did not cause. */
+  readonly unexpectedExits: string[] = [];
+  /** Evacuations of zones, by name. */
   readonly evacuations = new LeaveLedger(EVACUATE_MS);
-  private readonly seen = new Map<SoakEvent['type'], number>();
-  /** Zones of endpoints, by id. */
+  private readonly eventCounts = new Map<SoakEvent['type'], number>();
+  /** Zone by endpoint id. */
   private readonly zones = new Map<string, string>();
+  /** Kinds of the requests that callers sent, by id. */
   private readonly sent = new Map<string, AskKind>();
   private readonly runs = new Map<string, RecordedRun[]>();
-  /** When each endpoint last began to work. */
-  private readonly lastRunMs = new Map<string, number>();
+  /** When each endpoint last began a run, by id. */
+  private readonly lastRunAtMs = new Map<string, number>();
 
   constructor(
-    /** Hears of each event before it is judged. */
+    /** Called with each event before it is processed. */
     private readonly onEvent: (event: SoakEvent) => void = () => {},
   ) {}
 
-  /** Takes what was seen; throws where it cannot be, after what was seen before. */
+  /** Records an event; throws a `SoakEventError` when it contradicts an earlier one. */
   note(event: SoakEvent): void {
     this.onEvent(event);
-    this.seen.set(event.type, (this.seen.get(event.type) ?? 0) + 1);
+    this.eventCounts.set(
+      event.type,
+      (this.eventCounts.get(event.type) ?? 0) + 1,
+    );
     switch (event.type) {
       case 'allowance':
         this.repeats.retrySlack = event.retrySlack;
@@ -98,7 +102,7 @@
       case 'attempt':
         this.attempts.push(event);
         this.denials.note(event);
-        this.notePassedOn(event);
+        this.noteForwarded(event);
         return;
       case 'run':
         this.noteRun(event);
@@ -122,7 +126,7 @@
         this.evacuations.noteBack(event.zone, event.atMs);
         return;
       case 'deadlyEnd':
-        this.deadly.noteEnd(event.atMs);
+        this.deadly.noteCrash(event.atMs);
         return;
       case 'entryEnded':
         this.limits.noteEntryEnded(event.entry, event.atMs);
@@ -130,16 +134,16 @@
         this.rests.noteEntryEnded(event.entry, event.atMs);
         return;
       case 'ownEnd':
-        this.ownEnds.push(event.text);
+        this.unexpectedExits.push(event.text);
         return;
       default:
         assertNever(event);
     }
   }
 
-  /** How often each type of event was seen. */
-  seenOf(type: SoakEvent['type']): number {
-    return this.seen.get(type) ?? 0;
+  /** How often an event of this type was recorded. */
+  eventCount(type: SoakEvent['type']): number {
+    return this.eventCounts.get(type) ?? 0;
   }
 
   private noteDisturbed(fromMs: number, untilMs: number): void {
@@ -171,16 +175,16 @@
     this.rests.noteArrival(endpointId, requestId, {atMs, restMs});
   }
 
-  private notePassedOn({requestId, signature, endedAtMs}: Attempt): void {
-    const endpointId = signature?.slice(SIGNATURE_START.length);
+  private noteForwarded({requestId, signature, endedAtMs}: Attempt): void {
+    const endpointId = signature?.slice(SIGNATURE_PREFIX.length);
     if (endpointId === undefined) return;
-    this.limits.notePassedOn(requestId, endpointId, endedAtMs);
-    this.saidLeaves.notePassedOn(requestId, endpointId, endedAtMs);
+    this.limits.noteForwarded(requestId, endpointId, endedAtMs);
+    this.saidLeaves.noteForwarded(requestId, endpointId, endedAtMs);
   }
 
   private noteRun(run: RecordedRun): void {
-    this.lastRunMs.set(run.endpointId, run.atMs);
-    this.gone.noteBegun(run.requestId, run.atMs);
+    this.lastRunAtMs.set(run.endpointId, run.atMs);
+    this.gone.noteWorkBegun(run.requestId, run.atMs);
     const known = this.runs.get(run.requestId) ?? [];
     known.push(run);
     this.runs.set(run.requestId, known);
@@ -190,19 +194,19 @@
     if (!this.runs.has(requestId)) {
       throw new SoakEventError(`a run of ${requestId} ended that never began`);
     }
-    this.gone.noteEnded(requestId, atMs, isDone);
+    this.gone.noteWorkEnded(requestId, atMs, isDone);
   }
 
-  /** True when no work reached an endpoint since a time. */
+  /** True when an endpoint began no run since this time. */
   isIdleSince(endpointId: string, sinceMs: number): boolean {
-    return (this.lastRunMs.get(endpointId) ?? -Infinity) < sinceMs;
+    return (this.lastRunAtMs.get(endpointId) ?? -Infinity) < sinceMs;
   }
 
   get runCount(): number {
     return this.runs.size;
   }
 
-  /** The promises that were broken, each with the request that shows it. */
+  /** Describes each broken promise, with the request that shows it where there is one. */
   violations(): string[] {
     return [
       ...this.attempts.flatMap((attempt) => this.judgeAttempt(attempt)),
@@ -215,92 +219,93 @@
       ...this.limits.violations(),
       ...this.saidLeaves.violations(),
       ...this.rests.violations(),
-      ...this.overdue(),
-      ...this.ownEnds,
+      ...this.judgeTimeouts(),
+      ...this.unexpectedExits,
     ];
   }
 
-  /** Of what lasts as long as its route allows, most is answered by then (stated). */
-  private overdue(): string[] {
-    const lasting = this.attempts.filter(
-      (attempt) => lastedMs(attempt) >= ROUTE_TIMEOUT_MS[attempt.kind],
+  /** By the requirements, most requests that reach their route's timeout are answered then. */
+  private judgeTimeouts(): string[] {
+    const timedOut = this.attempts.filter(
+      (attempt) => durationMs(attempt) >= ROUTE_TIMEOUT_MS[attempt.kind],
     );
-    const overdue = lasting.filter(
+    const overdue = timedOut.filter(
       (attempt) =>
-        lastedMs(attempt) > ROUTE_TIMEOUT_MS[attempt.kind] + ANSWERED_AFTER_MS,
+        durationMs(attempt) >
+        ROUTE_TIMEOUT_MS[attempt.kind] + MAX_ANSWER_DELAY_MS,
     );
-    const isBorne =
-      overdue.length < FEWEST_OVERDUE ||
-      overdue.length <= lasting.length * MOST_OVERDUE_SHARE;
-    if (isBorne) return [];
+    const isTolerated =
+      overdue.length < MIN_OVERDUE ||
+      overdue.length <= timedOut.length * MAX_OVERDUE_SHARE;
+    if (isTolerated) return [];
     return [
-      `${overdue.length} of ${lasting.length} requests had no answer at their route's timeout`,
+      `${overdue.length} of ${timedOut.length} requests had no answer at their route's timeout`,
     ];
   }
 
   private judgeAttempt(attempt: Attempt): string[] {
     const {requestId, kind, status, isComplete} = attempt;
-    const broken: string[] = [];
-    const say = (text: string): void => {
-      broken.push(`${kind} ${requestId} at ${attempt.entry}: ${text}`);
+    const found: string[] = [];
+    const report = (text: string): void => {
+      found.push(`${kind} ${requestId} at ${attempt.entry}: ${text}`);
     };
-    if (PROMISES.has(status) && kind !== AskKind.LOOKUP) {
-      if (this.runs.has(requestId)) say(`answered ${status} and has run`);
+    if (NOT_RUN_STATUSES.has(status) && kind !== AskKind.LOOKUP) {
+      if (this.runs.has(requestId)) report(`answered ${status} and has run`);
     }
-    if (status !== 200) return broken;
-    if (attempt.signature === undefined) say('a success without signature');
+    if (status !== 200) return found;
+    if (attempt.signature === undefined) report('a success without signature');
     if (kind === AskKind.DRAFT) {
-      const problem = problemOfStream(attempt);
-      if (problem !== undefined) say(problem);
-    } else if (isComplete && !isWholeAnswer(attempt)) {
-      say(`the body is not its own: ${attempt.body}`);
+      const problem = findStreamProblem(attempt);
+      if (problem !== undefined) report(problem);
+    } else if (isComplete && !hasExpectedBody(attempt)) {
+      report(`the body is not its own: ${attempt.body}`);
     }
-    return broken;
+    return found;
   }
 
   private judgeRuns(requestId: string, runs: readonly RecordedRun[]): string[] {
     const kind = this.sent.get(requestId);
     if (kind === undefined) return [`run of ${requestId}, which nobody sent`];
-    const broken: string[] = [];
-    const fresh = runs.filter(({isContinued}) => !isContinued);
-    if (fresh.length > MOST_RUNS[kind]) {
-      broken.push(`${kind} ${requestId} ran ${fresh.length} times`);
+    const found: string[] = [];
+    const initialRuns = runs.filter(({isContinued}) => !isContinued);
+    if (initialRuns.length > MAX_RUNS[kind]) {
+      found.push(`${kind} ${requestId} ran ${initialRuns.length} times`);
     }
     for (const run of runs) {
       const {hasKey, organisation} = run;
       const lateMs = this.leaves.latenessMs(run.endpointId, run);
       if (lateMs !== undefined) {
-        broken.push(
+        found.push(
           `${kind} ${requestId} reached ${run.endpointId} ${lateMs} ms after its leave`,
         );
       }
       const zone = this.zones.get(run.endpointId) ?? '';
       const zoneLateMs = this.evacuations.latenessMs(zone, run);
       if (zoneLateMs !== undefined) {
-        broken.push(
+        found.push(
           `${kind} ${requestId} reached ${run.endpointId} ${zoneLateMs} ms after ${zone} was evacuated`,
         );
       }
-      if (hasKey) broken.push(`${kind} ${requestId}: an endpoint saw the key`);
+      if (hasKey) found.push(`${kind} ${requestId}: an endpoint saw the key`);
       if (organisation !== ORGANISATION) {
-        broken.push(`${kind} ${requestId}: organisation ${organisation}`);
+        found.push(`${kind} ${requestId}: organisation ${organisation}`);
       }
     }
-    return broken;
+    return found;
   }
 }
 
-function lastedMs({sentAtMs, endedAtMs}: Attempt): number {
+function durationMs({sentAtMs, endedAtMs}: Attempt): number {
   return endedAtMs - sentAtMs;
 }
 
-function isWholeAnswer({body, requestId, signature}: Attempt): boolean {
-  const endpointId = signature?.slice(SIGNATURE_START.length);
+function hasExpectedBody({body, requestId, signature}: Attempt): boolean {
+  const endpointId = signature?.slice(SIGNATURE_PREFIX.length);
   return body === `answer of ${endpointId} to ${requestId}`;
 }
 
-/** Events come once, in order, of the caller's own run; whole if complete. */
-function problemOfStream(attempt: Attempt): string | undefined {
+/** Each event must come once, in order and from the caller's own run; a complete stream has all. */
+function findStreamProblem(attempt: Attempt): string | undefined {
   const {body, requestId, isComplete, expectedEvents} = attempt;
   const events = body.split('\n\n').slice(0, -1);
   for (const [index, event] of events.entries()) {
--- a/packages-private/soak/src/limitLedger.ts
+++ b/packages-private/soak/src/limitLedger.ts
@@ -1,36 +1,37 @@
-import {ToldEntries} from './toldEntries.js';
+import {InformedEntries} from './toldEntries.js';
 
-/** A rate is kept in any span of this length, but for an overshoot and a slack (stated). */
+/** The requirements bound the requests in any window by the rate, an overshoot and a slack. */
 export const LIMIT_WINDOW_MS = 4_000;
-const OVERSHOOT = 1.5;
-const SLACK = 5;
+const OVERSHOOT_FACTOR = 1.5;
+const SLACK_REQUESTS = 5;
 
-/** An entry keeps it from this long after it has passed on the first answer (stated). */
-const TOLD_MS = 500;
+/** An entry must keep the rate from this long after it forwarded the first answer with it. */
+const ADOPTION_MS = 500;
 
-/** All entries together keep it from this long after it was named first (stated). */
-const CONTACT_MS = 3_000;
+/** All entries together must keep the rate from this long after its first announcement. */
+const CONVERGENCE_MS = 3_000;
 
-/** A request may wait that long for the processor of a busy machine. */
-const SCHEDULING_MS = 250;
+/** Allows for processes that wait for the CPU of a busy machine. */
+const CPU_WAIT_MS = 250;
 
 interface Arrival {
   readonly atMs: number;
   readonly requestId: string;
-  /** The rate that the endpoint names in its answer. */
+  /** The rate limit that the endpoint announces in its answer. */
   readonly perS: number | undefined;
 }
 
-/** Arrivals in a row whose answers name a rate. */
+/** Consecutive arrivals whose answers announce a rate limit. */
 type LimitedSpan = ReadonlyArray<Arrival & {readonly perS: number}>;
 
-/** Requests that reach endpoints which name the rate that they take. */
+/** Checks that entries together keep the rate limits that endpoints announce in their answers. */
 export class LimitLedger {
   private readonly arrivals = new Map<string, Arrival[]>();
+  /** The entry that each request was sent to, by request id. */
   private readonly entries = new Map<string, string>();
-  /** Endpoints and requests of answers that name a rate. */
+  /** Endpoint and request ids of the answers that announce a rate limit. */
   private readonly limited = new Set<string>();
-  private readonly told = new ToldEntries();
+  private readonly informedEntries = new InformedEntries();
 
   noteSent(requestId: string, entry: string): void {
     this.entries.set(requestId, entry);
@@ -44,24 +45,24 @@
     if (perS !== undefined) this.limited.add(`${endpointId} ${requestId}`);
   }
 
-  /** An entry has passed on an endpoint's answer. */
-  notePassedOn(requestId: string, endpointId: string, atMs: number): void {
+  /** An entry has forwarded an endpoint's answer. */
+  noteForwarded(requestId: string, endpointId: string, atMs: number): void {
     const entry = this.entries.get(requestId);
-    const isTold = this.limited.has(`${endpointId} ${requestId}`);
-    if (entry === undefined || !isTold) return;
-    this.told.noteTold(entry, endpointId, atMs);
+    const announcesLimit = this.limited.has(`${endpointId} ${requestId}`);
+    if (entry === undefined || !announcesLimit) return;
+    this.informedEntries.noteInformed(entry, endpointId, atMs);
   }
 
   noteEntryEnded(entry: string, atMs: number): void {
-    this.told.noteEnded(entry, atMs);
+    this.informedEntries.noteEntryEnded(entry, atMs);
   }
 
-  /** Arrivals at endpoints that named a rate. */
+  /** Arrivals at endpoints that announced a rate limit. */
   get judgedCount(): number {
     return this.limited.size;
   }
 
-  /** The worst window of each endpoint that got more than is allowed. */
+  /** Describes the worst window of each endpoint that got more requests than allowed. */
   violations(): string[] {
     return [...this.arrivals].flatMap(([endpointId, arrivals]) => {
       const windows = limitedSpans(arrivals).flatMap((span) =>
@@ -82,26 +83,33 @@
     endpointId: string,
     span: LimitedSpan,
   ): Array<{count: number; allowed: number; perS: number}> {
-    const counted = span.filter((arrival) => this.counts(endpointId, arrival));
+    const counted = span.filter((arrival) =>
+      this.isCounted(endpointId, arrival),
+    );
     return counted
-      .filter(({atMs}) => atMs >= span[0]!.atMs + CONTACT_MS)
+      .filter(({atMs}) => atMs >= span[0]!.atMs + CONVERGENCE_MS)
       .map(({atMs: endMs}) => {
         const inWindow = (one: Arrival): boolean =>
           one.atMs > endMs - LIMIT_WINDOW_MS && one.atMs <= endMs;
         const perS = Math.max(
           ...span.filter(inWindow).map((arrival) => arrival.perS),
         );
-        const allowed = OVERSHOOT * perS * (LIMIT_WINDOW_MS / 1_000) + SLACK;
+        const allowed =
+          OVERSHOOT_FACTOR * perS * (LIMIT_WINDOW_MS / 1_000) + SLACK_REQUESTS;
         return {count: counted.filter(inWindow).length, allowed, perS};
       });
   }
 
-  /** True for a request of an entry that had been told in time. */
-  private counts(endpointId: string, {atMs, requestId}: Arrival): boolean {
+  /** True when the entry that sent the request had known of the limit for long enough. */
+  private isCounted(endpointId: string, {atMs, requestId}: Arrival): boolean {
     const entry = this.entries.get(requestId);
     if (entry === undefined) return false;
-    const sinceMs = this.told.knownSinceMs(entry, endpointId, atMs);
-    return sinceMs !== undefined && atMs >= sinceMs + TOLD_MS + SCHEDULING_MS;
+    const fromMs = this.informedEntries.informedSinceMs(
+      entry,
+      endpointId,
+      atMs,
+    );
+    return fromMs !== undefined && atMs >= fromMs + ADOPTION_MS + CPU_WAIT_MS;
   }
 }
 
--- a/packages-private/soak/src/ownEnd.ts
+++ b/packages-private/soak/src/ownEnd.ts
@@ -1,30 +1,30 @@
-/** The end of a program that nobody had asked for. */
+/** The exit of a program that the soak had not requested. */
 export interface ProgramEnd {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
   /** Time since the program's start. */
   readonly ageMs: number;
-  /** True when it was started anew after an end that was brought about. */
+  /** True when the soak had restarted it after a kill or stop of its own. */
   readonly isRestart: boolean;
-  /** Signals that it was sent. */
+  /** Signals that the soak had sent it. */
   readonly sent: ReadonlySet<NodeJS.Signals>;
 }
 
-/** An end within this time after a disruption is put down to it (stated). */
-const DISTURBED_MS = 1_000;
+/** The requirements attribute an exit within this time of a disruption to the disruption. */
+const DISRUPTION_MS = 1_000;
 
 /**
- * True for the end that the soak itself brought by a signal, within a second of the kill or the
- * stop after which the program was started: Node.js takes no signals before it runs a program.
+ * True when a signal of the soak ended the program within a second of its restart: Node.js handles
+ * no signals before it runs a program, so even a reload signal ends it then.
  */
 export function isBroughtAbout(end: ProgramEnd): boolean {
   const {signal, ageMs, isRestart, sent} = end;
   return (
-    signal !== null && sent.has(signal) && isRestart && ageMs < DISTURBED_MS
+    signal !== null && sent.has(signal) && isRestart && ageMs < DISRUPTION_MS
   );
 }
 
-/** One line on an end that nobody had asked for. */
+/** Describes an unexpected exit in one line. */
 export function describeEnd(
   name: string,
   {code, signal, ageMs}: ProgramEnd,
--- a/packages-private/soak/src/repeatLedger.ts
+++ b/packages-private/soak/src/repeatLedger.ts
@@ -1,40 +1,46 @@
-/** What all entries together may send beyond the first of each request (stated). */
+/** The requirements let all entries together retry this share of the requests of a window. */
 export const RETRY_RATIO = 0.2;
 export const RETRY_WINDOW_MS = 10_000;
 
-/** Requests and arrivals of one service, in order of time. */
+/** Requests and arrivals of one service; times in ascending order. */
 interface ServiceRecord {
+  /** When callers sent requests. */
   readonly requestsMs: number[];
+  /** Ids of the requests that have reached an endpoint. */
   readonly arrived: Set<string>;
+  /** When requests reached an endpoint again. */
   readonly repeatsMs: number[];
 }
 
-/** Sends beyond the first of each request, counted where they arrive. */
+/**
+ * Checks retries against the budget that all entries share. Its repeats are sends of a request
+ * beyond the first, counted where they arrive.
+ */
 export class RepeatLedger {
-  /** Free sends in a window, over all entries (stated). */
+  /** Retries that all entries together may send in a window besides the share of the requests. */
   retrySlack = 0;
   private readonly services = new Map<string, ServiceRecord>();
 
-  /** A caller is about to ask for something of a service. */
+  /** A caller is about to send a request to a service. */
   noteRequest(service: string, atMs: number): void {
     this.recordOf(service).requestsMs.push(atMs);
   }
 
-  /** A request reached an endpoint of a service, whether it was run or not. */
+  /** A request reached an endpoint of a service, which may have run or rejected it. */
   noteArrival(service: string, requestId: string, atMs: number): void {
     const {arrived, repeatsMs} = this.recordOf(service);
     if (arrived.has(requestId)) repeatsMs.push(atMs);
     arrived.add(requestId);
   }
 
-  /** Arrivals beyond the first, over all services. */
+  /** Retries of all services. */
   get count(): number {
     let count = 0;
     for (const {repeatsMs} of this.services.values()) count += repeatsMs.length;
     return count;
   }
 
-  /** The worst window of each service that had more than is allowed. */
+  /** Describes the worst window of each service that had more retries than allowed. */
   violations(): string[] {
     return [...this.services].flatMap(([service, record]) => {
       const worst = worstWindow(record, this.retrySlack);
@@ -49,7 +55,11 @@
   private recordOf(service: string): ServiceRecord {
     const known = this.services.get(service);
     if (known !== undefined) return known;
-    const added = {requestsMs: [], arrived: new Set<string>(), repeatsMs: []};
+    const added = {
+      requestsMs: [],
+      arrived: new Set<string>(),
+      repeatsMs: [],
+    };
     this.services.set(service, added);
     return added;
   }
@@ -79,8 +89,9 @@
 }
 
 /**
- * The requests are those of the window, of the one before it or of the one half a window
- * before it, whichever has most (stated).
+ * Compares the retries of the window that begins at `fromMs` with its budget. By the requirements,
+ * the budget follows from the requests of this window, of the one half a window earlier or of the
+ * one before it, whichever has most.
  */
 function windowFrom(
   {requestsMs, repeatsMs}: ServiceRecord,
@@ -89,17 +100,17 @@
 ): Window {
   const requests = Math.max(
     ...[0, RETRY_WINDOW_MS / 2, RETRY_WINDOW_MS].map((earlierMs) =>
-      countFrom(requestsMs, fromMs - earlierMs),
+      countInWindow(requestsMs, fromMs - earlierMs),
     ),
   );
   return {
-    repeats: countFrom(repeatsMs, fromMs),
+    repeats: countInWindow(repeatsMs, fromMs),
     allowed: RETRY_RATIO * requests + retrySlack,
   };
 }
 
-/** How many times lie in the window that begins at `fromMs`. */
-function countFrom(timesMs: readonly number[], fromMs: number): number {
+/** Counts the times in the window that begins at `fromMs`. */
+function countInWindow(timesMs: readonly number[], fromMs: number): number {
   const untilMs = fromMs + RETRY_WINDOW_MS;
   return timesMs.filter((atMs) => atMs >= fromMs && atMs < untilMs).length;
 }
--- a/packages-private/soak/src/restLedger.ts
+++ b/packages-private/soak/src/restLedger.ts
@@ -1,24 +1,26 @@
-/** A rest binds from this long after the rejection that asked for it (stated). */
-const GRACE_MS = 500;
+/** An entry must begin to keep a backoff this long after the rejection that requested it. */
+const ADOPTION_MS = 500;
 
-/** So many requests may reach the endpoint all the same (stated). */
-const MOST_IN_REST = 2;
+/** The requirements let this many requests reach the endpoint during a backoff. */
+const MAX_SENDS_IN_BACKOFF = 2;
 
-/** A request may wait that long for the processor of a busy machine. */
-const SCHEDULING_MS = 250;
+/** Allows for processes that wait for the CPU of a busy machine. */
+const CPU_WAIT_MS = 250;
 
 interface Arrival {
   readonly atMs: number;
-  /** The rest that the endpoint asks for as it rejects this request. */
+  /** The backoff that the endpoint requests as it rejects this request. */
   readonly restMs: number | undefined;
 }
 
-/** Requests that reach endpoints which have asked their entry for rest. */
+/** Checks that an entry keeps the backoffs, or rests, that endpoints request as they reject. */
 export class RestLedger {
+  /** The entry that each request was sent to, by request id. */
   private readonly entries = new Map<string, string>();
   /** By entry and endpoint, in order of time. */
   private readonly arrivals = new Map<string, Arrival[]>();
-  private readonly endsMs = new Map<string, number[]>();
+  /** When processes of each entry ended. */
+  private readonly entryEndsMs = new Map<string, number[]>();
 
   noteSent(requestId: string, entry: string): void {
     this.entries.set(requestId, entry);
@@ -33,13 +35,13 @@
     this.arrivals.set(key, known);
   }
 
-  /** The process of an entry has ended: the next one knows nothing. */
+  /** The process of an entry has ended; its successor knows of no backoffs. */
   noteEntryEnded(entry: string, atMs: number): void {
-    const known = this.endsMs.get(entry) ?? [];
-    this.endsMs.set(entry, [...known, atMs]);
+    const known = this.entryEndsMs.get(entry) ?? [];
+    this.entryEndsMs.set(entry, [...known, atMs]);
   }
 
-  /** Rejections that asked for rest. */
+  /** Rejections that requested a backoff. */
   get judgedCount(): number {
     let count = 0;
     for (const arrivals of this.arrivals.values()) {
@@ -48,31 +50,31 @@
     return count;
   }
 
-  /** The worst rest of each entry and endpoint that was broken. */
+  /** Describes the worst violated backoff of each entry and endpoint. */
   violations(): string[] {
     return [...this.arrivals].flatMap(([key, arrivals]) => {
       const [entry, endpointId] = key.split(' ');
       const counts = arrivals.map((one) =>
-        countInRest(arrivals, one, this.endsMs.get(entry!) ?? []),
+        countInBackoff(arrivals, one, this.entryEndsMs.get(entry!) ?? []),
       );
       const most = Math.max(0, ...counts);
-      if (most <= MOST_IN_REST) return [];
+      if (most <= MAX_SENDS_IN_BACKOFF) return [];
       return [
-        `${endpointId} asked ${entry} for rest and got ${most} requests in it, ${MOST_IN_REST} are allowed`,
+        `${endpointId} asked ${entry} for rest and got ${most} requests in it, ${MAX_SENDS_IN_BACKOFF} are allowed`,
       ];
     });
   }
 }
 
-/** Arrivals in the rest that a rejection asked for, until the entry's process ended. */
-function countInRest(
+/** Counts arrivals in the backoff that a rejection requested, until the entry's process ended. */
+function countInBackoff(
   arrivals: readonly Arrival[],
-  {atMs: askedMs, restMs}: Arrival,
+  {atMs: rejectedAtMs, restMs}: Arrival,
   endsMs: readonly number[],
 ): number {
   if (restMs === undefined) return 0;
-  const endMs = endsMs.find((one) => one >= askedMs) ?? Infinity;
-  const untilMs = Math.min(askedMs + restMs, endMs);
-  const fromMs = askedMs + GRACE_MS + SCHEDULING_MS;
+  const endMs = endsMs.find((one) => one >= rejectedAtMs) ?? Infinity;
+  const untilMs = Math.min(rejectedAtMs + restMs, endMs);
+  const fromMs = rejectedAtMs + ADOPTION_MS + CPU_WAIT_MS;
   return arrivals.filter(({atMs}) => atMs > fromMs && atMs < untilMs).length;
 }
--- a/packages-private/soak/src/saidLeaveLedger.ts
+++ b/packages-private/soak/src/saidLeaveLedger.ts
@@ -1,29 +1,29 @@
 import {DRAIN_MS} from './leaveLedger.js';
-import {ToldEntries} from './toldEntries.js';
+import {InformedEntries} from './toldEntries.js';
 
-/** A request may wait that long for the processor of a busy machine. */
-const SCHEDULING_MS = 250;
+/** Allows for processes that wait for the CPU of a busy machine. */
+const CPU_WAIT_MS = 250;
 
 interface Arrival {
   readonly endpointId: string;
   readonly requestId: string;
   readonly atMs: number;
-  /** True when the endpoint says in its answer that it leaves. */
+  /** True when the endpoint announces in its answer that it is leaving. */
   readonly saysLeaving: boolean;
 }
 
-interface Sent {
+interface SentRequest {
   readonly entry: string;
   readonly atMs: number;
 }
 
-/** Requests that reach endpoints whose answers had told the entry that they leave. */
+/** Checks that entries send no new work to endpoints whose answers announced that they leave. */
 export class SaidLeaveLedger {
-  private readonly sent = new Map<string, Sent>();
+  private readonly sent = new Map<string, SentRequest>();
   private readonly arrivals: Arrival[] = [];
-  /** Endpoints and requests of answers that say so. */
-  private readonly saidLeave = new Set<string>();
-  private readonly told = new ToldEntries();
+  /** Endpoint and request ids of the answers that announced a leave. */
+  private readonly announced = new Set<string>();
+  private readonly informedEntries = new InformedEntries();
 
   noteSent(requestId: string, entry: string, atMs: number): void {
     this.sent.set(requestId, {entry, atMs});
@@ -32,34 +32,38 @@
   noteArrival(arrival: Arrival): void {
     this.arrivals.push(arrival);
     const {endpointId, requestId, saysLeaving} = arrival;
-    if (saysLeaving) this.saidLeave.add(`${endpointId} ${requestId}`);
+    if (saysLeaving) this.announced.add(`${endpointId} ${requestId}`);
   }
 
-  /** An entry has passed on an endpoint's answer. */
-  notePassedOn(requestId: string, endpointId: string, atMs: number): void {
+  /** An entry has forwarded an endpoint's answer. */
+  noteForwarded(requestId: string, endpointId: string, atMs: number): void {
     const sent = this.sent.get(requestId);
-    const saidLeave = this.saidLeave.has(`${endpointId} ${requestId}`);
-    if (sent === undefined || !saidLeave) return;
-    this.told.noteTold(sent.entry, endpointId, atMs);
+    const isAnnounced = this.announced.has(`${endpointId} ${requestId}`);
+    if (sent === undefined || !isAnnounced) return;
+    this.informedEntries.noteInformed(sent.entry, endpointId, atMs);
   }
 
   noteEntryEnded(entry: string, atMs: number): void {
-    this.told.noteEnded(entry, atMs);
+    this.informedEntries.noteEntryEnded(entry, atMs);
   }
 
-  /** Arrivals at endpoints that say that they leave. */
+  /** Arrivals at endpoints that announced that they leave. */
   get judgedCount(): number {
-    return this.saidLeave.size;
+    return this.announced.size;
   }
 
   violations(): string[] {
     return this.arrivals.flatMap(({endpointId, requestId, atMs}) => {
       const sent = this.sent.get(requestId);
       if (sent === undefined) return [];
-      const toldMs = this.told.knownSinceMs(sent.entry, endpointId, atMs);
-      if (toldMs === undefined) return [];
-      const afterMs = sent.atMs - toldMs;
-      if (afterMs <= DRAIN_MS + SCHEDULING_MS) return [];
+      const informedAtMs = this.informedEntries.informedSinceMs(
+        sent.entry,
+        endpointId,
+        atMs,
+      );
+      if (informedAtMs === undefined) return [];
+      const afterMs = sent.atMs - informedAtMs;
+      if (afterMs <= DRAIN_MS + CPU_WAIT_MS) return [];
       return [
         `${requestId} reached ${endpointId} from ${sent.entry}, sent ${Math.round(afterMs)} ms after its answer said that it leaves`,
       ];
--- a/packages-private/soak/src/soakEvent.ts
+++ b/packages-private/soak/src/soakEvent.ts
@@ -1,6 +1,6 @@
 import type {RecordedRun} from '@lilacledge/platform-standins';
 
-/** What a caller asked for. */
+/** Kinds of requests: a streamed draft, a booking that may run once, an idempotent look-up. */
 export const AskKind = {
   DRAFT: 'draft',
   BOOKING: 'booking',
@@ -12,7 +12,7 @@
 export const SoakService = {DRAFTS: 'drafts', BOOKINGS: 'bookings'} as const;
 export type SoakService = (typeof SoakService)[keyof typeof SoakService];
 
-/** One client attempt as its caller saw it. */
+/** One attempt of a request, as its caller saw it. */
 export interface Attempt {
   readonly requestId: string;
   readonly kind: AskKind;
@@ -24,17 +24,17 @@
   readonly isComplete: boolean;
   readonly body: string;
   readonly signature?: string;
-  /** Events that a whole draft has. */
+  /** Number of events of a complete draft. */
   readonly expectedEvents?: number;
 }
 
-/** One thing that callers, endpoints or the soak itself saw; times are monotonic. */
+/** An observation of a caller, an endpoint or the soak itself; times are monotonic. */
 export type SoakEvent =
-  /** What all entries may repeat; the first event of a stream. */
+  /** The fixed part of the retry budget of all entries; the first event of a stream. */
   | {readonly type: 'allowance'; readonly retrySlack: number}
   /** An endpoint starts in a zone. */
   | {readonly type: 'zone'; readonly endpointId: string; readonly zone: string}
-  /** Entries may be out of step in this time. */
+  /** Entries may have outdated state in this time. */
   | {
       readonly type: 'disturbed';
       readonly fromMs: number;
@@ -46,10 +46,10 @@
       readonly atMs: number;
       readonly requestId: string;
       readonly kind: AskKind;
-      /** The entry that is asked. */
+      /** The entry that it is sent to. */
       readonly entry?: string;
     }
-  /** A request reached an endpoint, which was given so much time for it. */
+  /** A request reached an endpoint, which was told the time that is left for it. */
   | {
       readonly type: 'arrived';
       readonly atMs: number;
@@ -57,11 +57,11 @@
       readonly requestId: string;
       readonly timeLeftMs?: number;
       readonly endpointId?: string;
-      /** The rate that the endpoint names in its answer. */
+      /** The rate limit that the endpoint announces in its answer. */
       readonly limitPerS?: number;
-      /** True when it says in its answer that it leaves. */
+      /** True when it announces in its answer that it is leaving. */
       readonly saysLeaving?: boolean;
-      /** The rest that it asks for as it rejects the request. */
+      /** The backoff that it requests as it rejects the request. */
       readonly restMs?: number;
     }
   /** A caller's attempt ended. */
@@ -75,41 +75,41 @@
       readonly requestId: string;
       readonly isDone: boolean;
     }
-  /** A caller closed its connection before its answer was whole. */
+  /** A caller closed its connection before its answer was complete. */
   | {
       readonly type: 'callerLeft';
       readonly atMs: number;
       readonly requestId: string;
     }
-  /** The store took note that an endpoint leaves, or is back under its id. */
+  /** The store recorded that an endpoint leaves, or is back under its id. */
   | {
       readonly type: 'endpointLeft' | 'endpointBack';
       readonly atMs: number;
       readonly endpointId: string;
     }
-  /** A zone was evacuated, or taken back. */
+  /** A zone was evacuated, or its evacuation was ended. */
   | {
       readonly type: 'zoneEvacuated' | 'zoneTakenBack';
       readonly atMs: number;
       readonly zone: string;
     }
-  /** An engine ended under the deadly request. */
+  /** An engine crashed under the deadly request. */
   | {readonly type: 'deadlyEnd'; readonly atMs: number}
-  /** The process of an entry ended: the next one knows nothing. */
+  /** The process of an entry ended; its successor starts without its state. */
   | {
       readonly type: 'entryEnded';
       readonly atMs: number;
       readonly entry: string;
     }
-  /** A program ended, and nobody had asked for it. */
+  /** A program exited without the soak's doing. */
   | {readonly type: 'ownEnd'; readonly text: string};
 
-/** A line of a kept stream that is no event, or contradicts another one. */
+/** A line of a recorded stream that is not a valid event, or contradicts another one. */
 export class SoakEventError extends Error {
   override readonly name = 'SoakEventError';
 }
 
-/** What a field of an event holds; a question mark stands for one that may be missing. */
+/** Type of a field of an event; a question mark marks an optional field. */
 type FieldType =
   'string' | 'number' | 'boolean' | 'string?' | 'number?' | 'boolean?';
 
@@ -166,37 +166,37 @@
   ownEnd: {text: 'string'},
 };
 
-/** Fields that hold one of some words. */
-const WORDS: Readonly<Record<string, ReadonlySet<unknown>>> = {
+/** The allowed values of fields that hold an enumeration. */
+const ALLOWED_VALUES: Readonly<Record<string, ReadonlySet<unknown>>> = {
   kind: new Set(Object.values(AskKind)),
   service: new Set(Object.values(SoakService)),
 };
 
-/** Parses one line of a kept stream; throws an error that names what is wrong. */
+/** Parses one line of a recorded stream; throws a `SoakEventError` that names the problem. */
 export function parseSoakEvent(line: string): SoakEvent {
   let value: unknown;
   try {
     value = JSON.parse(line);
   } catch {
-    throw new SoakEventError('the line is no JSON, or ends in the middle');
+    throw new SoakEventError('the line is not valid JSON or is incomplete');
   }
   const fields = value as Record<string, unknown> | null;
   const type = fields?.['type'];
   if (typeof type !== 'string' || !Object.hasOwn(FIELDS, type)) {
-    throw new SoakEventError('the line names no type of event');
+    throw new SoakEventError('the line has no known event type');
   }
   const expected = FIELDS[type as SoakEvent['type']];
   for (const [name, fieldType] of Object.entries(expected)) {
-    if (isField(name, fields![name], fieldType)) continue;
-    throw new SoakEventError(`${type}: ${name} is no ${fieldType}`);
+    if (isValidField(name, fields![name], fieldType)) continue;
+    throw new SoakEventError(`${type}: ${name} is not a valid ${fieldType}`);
   }
   return value as SoakEvent;
 }
 
-function isField(name: string, value: unknown, type: FieldType): boolean {
+function isValidField(name: string, value: unknown, type: FieldType): boolean {
   const isOptional = type.endsWith('?');
   if (value === undefined) return isOptional;
-  const words = WORDS[name];
-  if (words !== undefined) return words.has(value);
+  const allowed = ALLOWED_VALUES[name];
+  if (allowed !== undefined) return allowed.has(value);
   return typeof value === type.replace('?', '');
 }
--- a/packages-private/soak/src/toldEntries.ts
+++ b/packages-private/soak/src/toldEntries.ts
@@ -1,15 +1,15 @@
-/** From when to when an entry knows what an endpoint said. */
-interface KnownSpan {
+/** A time in which an entry knows of an endpoint's announcement. */
+interface InformedSpan {
   readonly fromMs: number;
   untilMs: number;
 }
 
-/** Which entries have passed on an answer of an endpoint that says something of itself. */
-export class ToldEntries {
+/** Tracks which entries know of an endpoint's announcement, as they forwarded an answer with it. */
+export class InformedEntries {
   /** By entry and endpoint. */
-  private readonly spans = new Map<string, KnownSpan[]>();
+  private readonly spans = new Map<string, InformedSpan[]>();
 
-  noteTold(entry: string, endpointId: string, atMs: number): void {
+  noteInformed(entry: string, endpointId: string, atMs: number): void {
     const key = keyOf(entry, endpointId);
     const known = this.spans.get(key) ?? [];
     this.spans.set(key, known);
@@ -17,8 +17,8 @@
     known.push({fromMs: atMs, untilMs: Infinity});
   }
 
-  /** The process of an entry has ended: the next one knows nothing. */
-  noteEnded(entry: string, atMs: number): void {
+  /** The process of an entry has ended; its successor knows of no announcements. */
+  noteEntryEnded(entry: string, atMs: number): void {
     for (const [key, spans] of this.spans) {
       if (!key.startsWith(keyOf(entry, ''))) continue;
       const last = spans.at(-1);
@@ -26,8 +26,8 @@
     }
   }
 
-  /** Since when the entry has known it at some moment; undefined where it does not. */
-  knownSinceMs(
+  /** Since when the entry knows of the announcement at `atMs`; undefined when it does not. */
+  informedSinceMs(
     entry: string,
     endpointId: string,
     atMs: number,
