--- a/packages-private/soak/src/__tests__/loopbackProxy.test.ts
+++ b/packages-private/soak/src/__tests__/loopbackProxy.test.ts
@@ -7,13 +7,13 @@
 
 let server: Server;
 let proxy: LoopbackProxy;
-let asked: number;
+let requestCount: number;
 
 beforeEach(async () => {
-  asked = 0;
+  requestCount = 0;
   const port = await freePort();
   server = createServer((_request, response) => {
-    asked++;
+    requestCount++;
     response.end('well');
   });
   await new Promise<void>((resolve) => {
@@ -28,7 +28,7 @@
   server.closeAllConnections();
 });
 
-/** The answer, or the kind of failure within 300 ms. */
+/** Resolves with the body of the answer, or the kind of failure after up to 300 ms. */
 async function get(): Promise<string> {
   const url = `http://127.0.0.1:${proxy.port}/`;
   const signal = AbortSignal.timeout(300);
@@ -41,7 +41,7 @@
 }
 
 describe('LoopbackProxy', () => {
-  it('passes on what it is not told to harm', async () => {
+  it('forwards requests and answers without a fault', async () => {
     expect(await get()).toBe('well');
   });
 
@@ -51,13 +51,16 @@
     [{kind: 'silent'}, 'silence', 0],
     [{kind: 'answersLost'}, 'silence', 1],
   ];
-  it.each(faults)('shows %o as %s', async (fault, expected, reached) => {
-    proxy.setFault(fault);
-    expect(await get()).toBe(expected);
-    expect(asked).toBe(reached);
-  });
+  it.each(faults)(
+    'turns the fault %o into %s',
+    async (fault, expected, expectedRequests) => {
+      proxy.setFault(fault);
+      expect(await get()).toBe(expected);
+      expect(requestCount).toBe(expectedRequests);
+    },
+  );
 
-  it('is well again after a fault', async () => {
+  it('forwards again after a fault', async () => {
     proxy.setFault({kind: 'silent'});
     await get();
     proxy.setFault({kind: 'none'});
--- a/packages-private/soak/src/__tests__/portRange.test.ts
+++ b/packages-private/soak/src/__tests__/portRange.test.ts
@@ -3,8 +3,8 @@
 
 const SEED = 7;
 
-/** Seeds so far apart begin at the same port. */
-const SAME_START = 12;
+/** Seeds that differ by the number of ranges map to the same one. */
+const SAME_RANGE_OFFSET = 12;
 
 let ranges: PortRange[] = [];
 
@@ -27,10 +27,10 @@
     expect(new Set(ports).size).toBe(3);
   });
 
-  // Guards soaks side by side from asking one another's endpoints.
-  it('gives soaks whose seeds begin at one port ranges of their own', async () => {
+  // Guards against concurrent soaks that share ports and so call each other's endpoints.
+  it('gives two soaks different ranges when their seeds map to the same one', async () => {
     const first = await open(SEED);
-    const second = await open(SEED + SAME_START);
+    const second = await open(SEED + SAME_RANGE_OFFSET);
     const taken = await Promise.all([first.take(), second.take()]);
     expect(Math.abs(taken[0] - taken[1])).toBeGreaterThan(1_000);
   });
--- a/packages-private/soak/src/__tests__/programEnds.test.ts
+++ b/packages-private/soak/src/__tests__/programEnds.test.ts
@@ -12,10 +12,10 @@
 const root = fileURLToPath(new URL('../../../../', import.meta.url));
 const bundleFolder = mkdtempSync(join(tmpdir(), 'lilacledge-program-'));
 
-/** A process that was told to stop ends within this time. */
+/** Longest time until a process that was told to stop ends. */
 const STOP_MS = 15_000;
 
-/** Sends a signal to its own process while the program loads the first of its parts. */
+/** Sends a signal to its own process when the program loads its first http module. */
 const SIGNAL_WHILE_LOADING = `
   const Module = require('node:module');
   const load = Module._load;
@@ -29,7 +29,7 @@
   };
 `;
 
-interface Ended {
+interface ExitStatus {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
 }
@@ -82,7 +82,7 @@
   });
 }
 
-/** Starts a real program; `hook` runs in its process before it is loaded. */
+/** Starts a real program; `hook` runs in its process before the program loads. */
 async function start(role: string, hook = '', signal = ''): Promise<void> {
   const settingsPath = join(folder, 'node.toml');
   const hookPath = join(folder, 'hook.cjs');
@@ -100,7 +100,7 @@
   program.stdout!.on('data', (chunk: Buffer) => (output += String(chunk)));
 }
 
-function ended(): Promise<Ended> {
+function waitForExit(): Promise<ExitStatus> {
   const child = program!;
   const {exitCode: code, signalCode: signal} = child;
   if (code !== null || signal !== null) return Promise.resolve({code, signal});
@@ -110,8 +110,8 @@
 }
 
 describe.each(['entry', 'sidecar'])('the real %s', (role) => {
-  // Guards a process that starts from a signal that comes before it is ready for it.
-  it('stays when it is told to read its settings while it loads', async () => {
+  // Guards against a process that SIGHUP ends because it arrives before its handler is installed.
+  it('keeps running on SIGHUP while it loads', async () => {
     await start(role, SIGNAL_WHILE_LOADING, 'SIGHUP');
     const isUp = (): boolean => output.includes('"process.started"');
     await expect.poll(isUp, {timeout: STOP_MS}).toBe(true);
@@ -120,23 +120,29 @@
   });
 
   it.each(['SIGTERM', 'SIGINT'] as const)(
-    'ends in order on %s while it loads',
+    'exits with 0 on %s while it loads',
     async (signal) => {
       await start(role, SIGNAL_WHILE_LOADING, signal);
-      expect(await ended()).toEqual({code: 0, signal: null});
+      expect(await waitForExit()).toEqual({code: 0, signal: null});
     },
     STOP_MS,
   );
 
-  // Guards against exits without a word: an error that nothing catches names itself.
+  // Guards against exits without a log line: uncaught errors must be logged.
   it.each([
-    ['an error', "setTimeout(() => { throw new Error('injected'); }, 700);"],
-    ['a rejection', "setTimeout(() => Promise.reject('injected'), 700);"],
+    [
+      'an uncaught error',
+      "setTimeout(() => { throw new Error('injected'); }, 700);",
+    ],
+    [
+      'an unhandled rejection',
+      "setTimeout(() => Promise.reject('injected'), 700);",
+    ],
   ])(
-    'tells %s that nothing catches, and ends in failure',
+    'logs %s and exits with 1',
     async (_name, hook) => {
       await start(role, hook);
-      expect(await ended()).toEqual({code: 1, signal: null});
+      expect(await waitForExit()).toEqual({code: 1, signal: null});
       const line = output
         .split('\n')
         .find((one) => one.includes('"process.failed"'));
@@ -147,13 +153,13 @@
 });
 
 describe('the real entry', () => {
-  // Guards against an entry that serves on and that no other process can link to.
+  // Guards against an entry that keeps serving although no other process can link to it.
   it(
-    'ends in failure when its address for links is taken',
+    'exits with 1 when its link address is in use',
     async () => {
       const holder = createServer().listen(linkPort, '127.0.0.1');
       await start('entry');
-      expect(await ended()).toEqual({code: 1, signal: null});
+      expect(await waitForExit()).toEqual({code: 1, signal: null});
       expect(output).toContain('"peer.listenFailed"');
       holder.close();
     },
--- a/packages-private/soak/src/__tests__/soak.test.ts
+++ b/packages-private/soak/src/__tests__/soak.test.ts
@@ -11,10 +11,10 @@
 
 const root = fileURLToPath(new URL('../../../../', import.meta.url));
 
-/** Enough for about ten faults; longer runs are made by hand. */
+/** Enough for about ten faults; longer soaks are run by hand. */
 const DURATION_MS = 7_000;
 
-const RUN_LIMIT_MS = 90_000;
+const RUN_TIMEOUT_MS = 90_000;
 
 describe('planFaults', () => {
   it('draws the same faults for the same seed, in order of time', () => {
@@ -25,7 +25,7 @@
     expect(times).toEqual([...times].sort((a, b) => a - b));
   });
 
-  it('draws every kind of fault sooner or later', () => {
+  it('draws every kind of fault in a long run', () => {
     const kinds = new Set(planFaults(1, 600_000).map(({what}) => what.kind));
     expect(kinds.size).toBe(21);
   });
@@ -40,7 +40,7 @@
 });
 
 describe('planZoneFaults', () => {
-  it('draws the same orders for the same seed, for all zones', () => {
+  it('draws the same evacuations for the same seed, for all zones', () => {
     const faults = planZoneFaults(7, 120_000);
     expect(faults).toEqual(planZoneFaults(7, 120_000));
     expect(new Set(faults.map(({target}) => target % 3)).size).toBe(3);
@@ -48,7 +48,7 @@
 });
 
 describe('planSheddingFaults', () => {
-  it('ends entries of each kind beside endpoints that reject', () => {
+  it('plans kills and stops of entries while endpoints reject', () => {
     const faults = planSheddingFaults(7, 60_000);
     expect(faults).toEqual(planSheddingFaults(7, 60_000));
     const kinds = new Set(faults.map(({what}) => what.kind));
@@ -62,7 +62,7 @@
 });
 
 describe('planAnswerFaults', () => {
-  it('draws statements and ends of entries, the same for the same seed', () => {
+  it('draws announcements and restarts of entries, the same for the same seed', () => {
     const faults = planAnswerFaults(7, 60_000);
     expect(faults).toEqual(planAnswerFaults(7, 60_000));
     const kinds = new Set(faults.map(({what}) => what.kind));
@@ -77,7 +77,7 @@
 });
 
 describe('planBulkFaults', () => {
-  it('draws versions in series and leaves, the same for the same seed', () => {
+  it('plans configuration changes and leaves, the same for the same seed', () => {
     const faults = planBulkFaults(7, 10_000);
     expect(faults).toEqual(planBulkFaults(7, 10_000));
     const kinds = new Set(faults.map(({what}) => what.kind));
@@ -91,7 +91,7 @@
   });
 
   it(
-    'keep the promises to callers',
+    'keep the guarantees to callers',
     async () => {
       const verdict = await runSoak({
         seed: 11,
@@ -102,11 +102,11 @@
       expect(verdict.violations).toEqual([]);
       expect(verdict.good).toBeGreaterThan(100);
     },
-    RUN_LIMIT_MS,
+    RUN_TIMEOUT_MS,
   );
 
   it(
-    'keep them while endpoints start again and others write among entries',
+    'keep the guarantees while endpoints restart and registrations are malformed',
     async () => {
       const verdict = await runSoak({
         seed: 21,
@@ -118,11 +118,11 @@
       expect(verdict.violations).toEqual([]);
       expect(verdict.good).toBeGreaterThan(100);
     },
-    RUN_LIMIT_MS,
+    RUN_TIMEOUT_MS,
   );
 
   it(
-    'give no late work to zones that are evacuated',
+    'send no late work to evacuated zones',
     async () => {
       const verdict = await runSoak({
         seed: 41,
@@ -134,28 +134,28 @@
       expect(verdict.violations).toEqual([]);
       expect(verdict.good).toBeGreaterThan(100);
     },
-    RUN_LIMIT_MS,
+    RUN_TIMEOUT_MS,
   );
 
   it(
-    'give a request up that ends each engine that runs it',
+    'quarantine a request that crashes each engine that runs it',
     async () => {
       const verdict = await runSoak({
         seed: 51,
         durationMs: DURATION_MS,
         processes: 8,
-        hasDeadlyRequests: true,
+        hasCrashingRequests: true,
         print: () => {},
       });
       expect(verdict.violations).toEqual([]);
       expect(verdict.deadlyEnds).toBeGreaterThan(0);
       expect(verdict.good).toBeGreaterThan(100);
     },
-    RUN_LIMIT_MS,
+    RUN_TIMEOUT_MS,
   );
 
   it(
-    'give no late work to endpoints that leave beside a large configuration',
+    'send no late work to endpoints that leave while a large configuration changes',
     async () => {
       const verdict = await runSoak({
         seed: 32,
@@ -167,11 +167,11 @@
       expect(verdict.violations).toEqual([]);
       expect(verdict.good).toBeGreaterThan(100);
     },
-    RUN_LIMIT_MS,
+    RUN_TIMEOUT_MS,
   );
 
   it(
-    'break work off for callers that have left',
+    'abort work for callers that disconnected',
     async () => {
       const verdict = await runSoak({
         seed: 81,
@@ -184,12 +184,12 @@
       expect(verdict.callersLeft).toBeGreaterThan(10);
       expect(verdict.good).toBeGreaterThan(100);
     },
-    RUN_LIMIT_MS,
+    RUN_TIMEOUT_MS,
   );
 
-  // Guards the shared retry budget from lives of entries that each count from nothing.
+  // Guards against restarted entries that count retries from zero and so exceed the shared budget.
   it(
-    'keep repeats within the shared budget while entries start anew',
+    'keep retries within the shared budget while entries restart',
     async () => {
       const verdict = await runSoak({
         seed: 61,
@@ -202,12 +202,12 @@
       expect(verdict.repeats).toBeGreaterThan(0);
       expect(verdict.good).toBeGreaterThan(100);
     },
-    RUN_LIMIT_MS,
+    RUN_TIMEOUT_MS,
   );
 
-  // Guards what endpoints say of themselves from entries that go on as before.
+  // Guards against entries that ignore the limits, leaves and backoffs that endpoints announce.
   it(
-    'keep to what endpoints say in their answers',
+    'respect what endpoints announce in answers',
     async () => {
       const verdict = await runSoak({
         seed: 91,
@@ -222,6 +222,6 @@
       expect(verdict.rests).toBeGreaterThan(0);
       expect(verdict.good).toBeGreaterThan(100);
     },
-    RUN_LIMIT_MS,
+    RUN_TIMEOUT_MS,
   );
 });
--- a/packages-private/soak/src/bin/judge.ts
+++ b/packages-private/soak/src/bin/judge.ts
@@ -1,31 +1,31 @@
 #!/usr/bin/env node
-/** Judges a kept stream of a soak again; exit code 1 when a promise broke, 2 when it is bad. */
+/** Checks the kept events of a soak again; exits with 1 on a violation, 2 on invalid input. */
 import {readFileSync} from 'node:fs';
 import {Command} from 'commander';
 import {judgeEvents} from '../judgeEvents.js';
 import {SoakEventError} from '../soakEvent.js';
 
-const BROKEN = 1;
-const BAD_INPUT = 2;
+const EXIT_VIOLATION = 1;
+const EXIT_BAD_INPUT = 2;
 
 const command = new Command('judge')
-  .description('Judges what a soak saw, from the events that it kept.')
+  .description('Checks the guarantees again from the events that a soak kept.')
   .argument('<file>', 'events.jsonl of a run whose logs were kept')
   .parse();
 const [file] = command.args as [string];
 
 try {
   const lines = readFileSync(file, 'utf8').split('\n');
-  // A whole stream ends with the end of a line.
+  // A complete file ends with a line break.
   if (lines.at(-1) === '') lines.pop();
   const verdict = judgeEvents(lines);
   process.stdout.write(`${JSON.stringify(verdict)}\n`);
-  if (verdict.violations.length > 0) process.exitCode = BROKEN;
+  if (verdict.violations.length > 0) process.exitCode = EXIT_VIOLATION;
 } catch (error) {
   const isExpected =
     error instanceof SoakEventError ||
     (error as NodeJS.ErrnoException).code === 'ENOENT';
   if (!isExpected) throw error;
   process.stderr.write(`${file}: ${(error as Error).message}\n`);
-  process.exitCode = BAD_INPUT;
+  process.exitCode = EXIT_BAD_INPUT;
 }
--- a/packages-private/soak/src/bin/soak.ts
+++ b/packages-private/soak/src/bin/soak.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** Runs soaks with given or fresh seeds; exit code 1 when a promise broke. */
+/** Runs soaks with given or random seeds; exits with 1 when a guarantee was violated. */
 import {randomInt} from 'node:crypto';
 import {readFileSync} from 'node:fs';
 import {Command} from 'commander';
@@ -9,19 +9,39 @@
 
 const command = new Command('soak')
   .description('Runs the real programs under random faults.')
-  .option('--seed <number>', 'first seed; drawn when left out', Number)
-  .option('--runs <number>', 'seeds in a row', Number, 1)
+  .option('--seed <number>', 'first seed; random by default', Number)
+  .option(
+    '--runs <number>',
+    'number of runs, with consecutive seeds',
+    Number,
+    1,
+  )
   .option('--minutes <number>', 'time with faults in each run', Number, 0.5)
-  .option('--processes <number>', 'programs, about', Number, 12)
-  .option('--shape <file>', 'numbers of processes, in place of --processes')
-  .option('--identity', 'also faults of who an endpoint is')
-  .option('--deadly', 'also a request that ends each engine that runs it')
-  .option('--shedding', 'endpoints that reject, entries that start anew, alone')
-  .option('--answers', 'what endpoints say in their answers, alone')
-  .option('--failing', 'plain endpoints that answer errors, alone')
-  .option('--leaving', 'also a caller that leaves before its drafts are whole')
-  .option('--zones', 'also zones that are evacuated')
-  .option('--large-config', 'leaves beside a large configuration, alone')
+  .option('--processes <number>', 'approximate number of programs', Number, 12)
+  .option(
+    '--shape <file>',
+    'numbers of processes by role, instead of --processes',
+  )
+  .option(
+    '--identity',
+    'also restarts under the same id and malformed registrations',
+  )
+  .option('--deadly', 'also a request that crashes each engine that runs it')
+  .option('--shedding', 'only endpoints that reject while entries restart')
+  .option(
+    '--answers',
+    'only limits, leaves and backoffs that endpoints announce in answers',
+  )
+  .option('--failing', 'only plain endpoints that answer with errors')
+  .option(
+    '--leaving',
+    'also a caller that disconnects before its drafts are complete',
+  )
+  .option('--zones', 'also evacuations of zones')
+  .option(
+    '--large-config',
+    'only endpoints that leave while a large configuration changes',
+  )
   .option('--verbose', 'print each fault')
   .parse();
 const options = command.opts<{
@@ -41,8 +61,8 @@
   verbose?: boolean;
 }>();
 
-const shape = openShape(options.shape);
-let broken = 0;
+const shape = readShape(options.shape);
+let failedRuns = 0;
 const firstSeed = options.seed ?? randomInt(1_000_000);
 for (let run = 0; run < options.runs; run++) {
   const verdict = await runSoak({
@@ -52,25 +72,25 @@
     shape,
     hasIdentityFaults: options.identity,
     hasZoneFaults: options.zones,
-    hasDeadlyRequests: options.deadly,
+    hasCrashingRequests: options.deadly,
     hasLargeConfig: options.largeConfig,
     hasShedding: options.shedding,
     hasStatements: options.answers,
-    hasFailing: options.failing,
+    hasFailingEndpoints: options.failing,
     hasLeavingCaller: options.leaving,
     print: (line) => {
       if (options.verbose === true) process.stdout.write(`${line}\n`);
     },
   });
-  broken += verdict.violations.length > 0 ? 1 : 0;
+  failedRuns += verdict.violations.length > 0 ? 1 : 0;
   process.stdout.write(`${JSON.stringify(verdict)}\n`);
 }
-// Left to itself, Node.js may wait for ever in its own cleanup for writes to
-// sockets that a proxy reset: the process then spins at its end.
-process.exit(broken > 0 ? 1 : 0);
+// Without an explicit exit, Node.js may spin forever in its own cleanup, waiting for writes to
+// sockets that a proxy reset.
+process.exit(failedRuns > 0 ? 1 : 0);
 
-/** Ends the process with one line when the shape is wrong. */
-function openShape(path: string | undefined): SoakShape | undefined {
+/** Reads a shape; prints one line and exits with 2 when it is missing or invalid. */
+function readShape(path: string | undefined): SoakShape | undefined {
   if (path === undefined) return undefined;
   try {
     return parseShape(readFileSync(path, 'utf8'));
--- a/packages-private/soak/src/disturbances.ts
+++ b/packages-private/soak/src/disturbances.ts
@@ -1,20 +1,20 @@
-interface Span {
+interface Interval {
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** Times in which entries are out of step with the store, endpoints or callers. */
+/** Intervals in which a fault may keep an entry from reaching the store, endpoints or callers. */
 export class Disturbances {
-  private readonly spans: Span[] = [];
+  private readonly intervals: Interval[] = [];
 
   note(fromMs: number, untilMs: number): void {
-    this.spans.push({fromMs, untilMs});
+    this.intervals.push({fromMs, untilMs});
   }
 
-  /** True when one of them meets this span. */
+  /** True when one of the intervals overlaps the given one. */
   meets(fromMs: number, untilMs: number): boolean {
-    return this.spans.some(
-      (span) => span.fromMs <= untilMs && fromMs <= span.untilMs,
+    return this.intervals.some(
+      (interval) => interval.fromMs <= untilMs && fromMs <= interval.untilMs,
     );
   }
 }
--- a/packages-private/soak/src/endpointPlaces.ts
+++ b/packages-private/soak/src/endpointPlaces.ts
@@ -18,22 +18,22 @@
 import {SoakService} from './soakEvent.js';
 import type {SoakEvent} from './soakEvent.js';
 
-/** Notice that a leaving engine gives, as on the users' platform. */
-const NOTICE_MS = 1_800;
+/** Time between an engine's leave notice and its end, as on the users' platform. */
+const LEAVE_NOTICE_MS = 1_800;
 
-/** Time that a leaving plain endpoint goes on serving: the drain bound and more. */
+/** Time that a leaving plain endpoint keeps serving; longer than entries may take to drain it. */
 const SERVICE_LINGER_MS = 3_000;
 
-/** Pause until the next incarnation starts at the same address. */
+/** Delay until the next incarnation, under a new id, starts at the same address. */
 const REPLACEMENT_PAUSE_MS = 2_200;
 
-/** Pause until the same endpoint starts again under its id. */
+/** Delay until a crashed endpoint restarts under the same id. */
 const RESTART_PAUSE_MS = 600;
 
-/** Part of calls that a failing service answers with an error of its own. */
+/** Share of calls that a failing service answers with status 500. */
 const FAILURE_SHARE = 0.5;
 
-/** One incarnation of an endpoint, as the stand-ins have it. */
+/** The members that stand-ins for engines and for plain endpoints have in common. */
 interface Incarnation {
   readonly id: string;
   readonly port: number;
@@ -43,42 +43,42 @@
   registration(service: string, zone: string, state?: string): unknown;
 }
 
-/** An endpoint in a later life under its id, and since when. */
-export interface StartedAgain {
+/** A restart of an endpoint under the same id. */
+export interface EndpointRestart {
   readonly id: string;
   readonly atMs: number;
 }
 
-/** Where a place is, and what all places share. */
-export interface PlaceSettings {
+/** Where an endpoint host is, and what all hosts share. */
+export interface HostSettings {
   readonly name: string;
   readonly publicPort: number;
   readonly zone: string;
   readonly store: FakeStore;
   readonly ports: PortRange;
-  /** Hears of what its incarnations see. */
+  /** Receives what the host's incarnations observe. */
   readonly note: (event: SoakEvent) => void;
-  /** Hears of each incarnation before it registers. */
+  /** Called for each incarnation before it registers. */
   readonly onStart: (endpointId: string) => void;
 }
 
-/** One address at which incarnations of an endpoint come and go. */
-abstract class EndpointPlace<T extends Incarnation> {
+/** One address at which successive incarnations of an endpoint run. */
+abstract class EndpointHost<T extends Incarnation> {
   readonly proxy: LoopbackProxy;
-  /** Part of what arrives that it rejects without running it. */
+  /** Share of the requests that the endpoint rejects without running them. */
   shedShare = 0;
   protected current: T | undefined;
-  /** What it says of itself; the last of them is in force. */
-  private said: AnswerStatements[] = [];
-  /** True once this incarnation says that it leaves. */
+  /** State that the endpoint announces in its answers; the last one applies. */
+  private announcements: AnswerStatements[] = [];
+  /** True once this incarnation announces in its answers that it leaves. */
   private saysLeaving = false;
-  private started = 0;
+  private startCount = 0;
   private isReplacing = false;
   private isClosed = false;
-  private again: StartedAgain | undefined;
+  private lastRestart: EndpointRestart | undefined;
 
   protected constructor(
-    protected readonly settings: PlaceSettings,
+    protected readonly settings: HostSettings,
     private readonly service: SoakService,
     private readonly lingerMs: number,
   ) {
@@ -102,17 +102,18 @@
 
   /** Starts the next incarnation and registers it. */
   async start(): Promise<void> {
-    await this.startAs(`${this.settings.name}-${++this.started}`);
+    await this.startIncarnation(`${this.settings.name}-${++this.startCount}`);
   }
 
-  private async startAs(id: string): Promise<void> {
+  private async startIncarnation(id: string): Promise<void> {
     if (this.isClosed) return;
     const port = await this.settings.ports.take();
     const current = this.create(id, port);
     current.sheds = () =>
-      this.statements.rest !== undefined || Math.random() < this.shedShare;
+      this.activeAnnouncement.rest !== undefined ||
+      Math.random() < this.shedShare;
     this.saysLeaving = false;
-    current.statements = () => this.statements;
+    current.statements = () => this.activeAnnouncement;
     current.onArrival = (requestId, timeLeftMs) => {
       const {service} = this;
       const atMs = systemClock.nowMs();
@@ -123,9 +124,9 @@
         requestId,
         timeLeftMs,
         endpointId: id,
-        limitPerS: limitPerSOf(this.statements),
+        limitPerS: parseLimitPerS(this.activeAnnouncement),
         saysLeaving: this.saysLeaving,
-        restMs: restMsOf(this.statements),
+        restMs: parseBackoffMs(this.activeAnnouncement),
       });
     };
     this.current = current;
@@ -133,33 +134,37 @@
     this.register();
   }
 
-  /** Its endpoint, if it is ready in a later life under its id. */
-  get startedAgain(): StartedAgain | undefined {
-    const {again, current, isReplacing} = this;
-    return isReplacing || again?.id !== current?.id ? undefined : again;
+  /** The restart that the current incarnation came from, if it is ready. */
+  get readyRestart(): EndpointRestart | undefined {
+    const {lastRestart, current, isReplacing} = this;
+    return isReplacing || lastRestart?.id !== current?.id
+      ? undefined
+      : lastRestart;
   }
 
-  private get statements(): AnswerStatements {
+  private get activeAnnouncement(): AnswerStatements {
     const leaving = this.saysLeaving ? '1' : undefined;
-    return {...this.said.at(-1), leaving};
+    return {...this.announcements.at(-1), leaving};
   }
 
-  /** Says in its answers that it leaves; the result has the store hear of it. */
-  sayLeave(): () => void {
+  /** Announces in answers that the endpoint leaves; the result makes it leave in the store too. */
+  startAnnouncingLeave(): () => void {
     if (this.isReplacing) return () => {};
     this.saysLeaving = true;
     return () => void this.leave();
   }
 
-  /** Says something of itself in its answers from now on; the result ends it. */
-  say(statements: AnswerStatements): () => void {
-    this.said = [...this.said, statements];
+  /** Announces state in answers from now on; the result ends the announcement. */
+  startAnnouncing(announcement: AnswerStatements): () => void {
+    this.announcements = [...this.announcements, announcement];
     return () => {
-      this.said = this.said.filter((one) => one !== statements);
+      this.announcements = this.announcements.filter(
+        (one) => one !== announcement,
+      );
     };
   }
 
-  /** Writes its entry as it should be, unless it leaves or is away. */
+  /** Writes the correct registration, unless the endpoint is leaving or down. */
   restore(): void {
     if (!this.isReplacing) this.register();
   }
@@ -167,47 +172,47 @@
   private register(): void {
     const {current, service, zone, settings} = this;
     if (current === undefined) return;
-    const entry = current.registration(service, zone);
-    settings.store.register(current.id, entry);
+    const registration = current.registration(service, zone);
+    settings.store.register(current.id, registration);
   }
 
-  /** Another writer overwrites its entry, or an entry beside it. */
-  spoil(value: string): void {
+  /** Overwrites the registration, or adds a malformed one when the endpoint is down. */
+  corruptRegistration(value: string): void {
     const {current, settings} = this;
     settings.store.put(`servers/${current?.id ?? settings.name}`, value);
   }
 
-  /** Crashes and starts again under its id; the store learns of the new start. */
-  async startAgain(leavesFirst: boolean): Promise<void> {
+  /** Crashes and restarts under the same id, then registers again; may drain first. */
+  async restart(leavesFirst: boolean): Promise<void> {
     const {current} = this;
     if (this.isReplacing || current === undefined) return;
     this.isReplacing = true;
     if (leavesFirst) {
-      this.announce();
+      this.registerAsDraining();
       await sleep(systemClock, this.lingerMs);
     }
     this.current = undefined;
     this.endIncarnation(current);
     await sleep(systemClock, RESTART_PAUSE_MS);
-    this.again = {id: current.id, atMs: systemClock.nowMs()};
+    this.lastRestart = {id: current.id, atMs: systemClock.nowMs()};
     this.settings.note({
       type: 'endpointBack',
-      endpointId: this.again.id,
-      atMs: this.again.atMs,
+      endpointId: this.lastRestart.id,
+      atMs: this.lastRestart.atMs,
     });
-    await this.startAs(current.id);
+    await this.startIncarnation(current.id);
     this.isReplacing = false;
   }
 
-  /** Leaves as planned: tells the store, serves on, and is gone. */
+  /** Leaves as planned: registers as draining, keeps serving for a while, and ends. */
   async leave(): Promise<void> {
     await this.replace(async () => {
-      this.announce();
+      this.registerAsDraining();
       await sleep(systemClock, this.lingerMs);
     });
   }
 
-  /** Leaves without a word to entries: its registration goes, and it serves on. */
+  /** Leaves without draining: removes its registration, keeps serving for a while, and ends. */
   async leaveSilently(): Promise<void> {
     await this.replace(async () => {
       this.unregister();
@@ -215,7 +220,7 @@
     });
   }
 
-  /** Ends without a word; the store drops its entry later. */
+  /** Ends without notice; its registration is removed only afterwards. */
   async crash(): Promise<void> {
     await this.replace(async () => {});
   }
@@ -233,11 +238,11 @@
   protected abstract create(id: string, port: number): T;
   protected abstract endIncarnation(current: T): void;
 
-  protected announce(): void {
+  protected registerAsDraining(): void {
     const {current, service, zone} = this;
     if (current === undefined) return;
-    const leaving = current.registration(service, zone, 'draining');
-    this.settings.store.register(current.id, leaving);
+    const draining = current.registration(service, zone, 'draining');
+    this.settings.store.register(current.id, draining);
     this.noteLeft(current);
   }
 
@@ -261,10 +266,10 @@
     this.settings.store.unregister(current.id);
   }
 
-  private async replace(before: () => Promise<void>): Promise<void> {
+  private async replace(beforeEnd: () => Promise<void>): Promise<void> {
     if (this.isReplacing) return;
     this.isReplacing = true;
-    await before();
+    await beforeEnd();
     this.end();
     await sleep(systemClock, REPLACEMENT_PAUSE_MS);
     await this.start();
@@ -272,13 +277,13 @@
   }
 }
 
-/** Where engines come and go. */
-export class EnginePlace extends EndpointPlace<FakeEngine> {
+/** A host of engines. */
+export class EngineHost extends EndpointHost<FakeEngine> {
   constructor(
-    settings: PlaceSettings,
+    settings: HostSettings,
     private readonly fleet: EngineFleet,
   ) {
-    super(settings, SoakService.DRAFTS, NOTICE_MS);
+    super(settings, SoakService.DRAFTS, LEAVE_NOTICE_MS);
   }
 
   set resetsRequests(resets: boolean) {
@@ -307,9 +312,9 @@
     return engine;
   }
 
-  protected override announce(): void {
-    this.current?.leaveIn(NOTICE_MS);
-    super.announce();
+  protected override registerAsDraining(): void {
+    this.current?.leaveIn(LEAVE_NOTICE_MS);
+    super.registerAsDraining();
   }
 
   protected endIncarnation(current: FakeEngine): void {
@@ -317,9 +322,9 @@
   }
 }
 
-/** Where plain endpoints come and go. */
-export class ServicePlace extends EndpointPlace<FakeService> {
-  constructor(settings: PlaceSettings) {
+/** A host of plain endpoints. */
+export class ServiceHost extends EndpointHost<FakeService> {
+  constructor(settings: HostSettings) {
     super(settings, SoakService.BOOKINGS, SERVICE_LINGER_MS);
   }
 
@@ -341,10 +346,10 @@
   }
 }
 
-function limitPerSOf({limit}: AnswerStatements): number | undefined {
+function parseLimitPerS({limit}: AnswerStatements): number | undefined {
   return limit === undefined ? undefined : Number(limit);
 }
 
-function restMsOf({rest}: AnswerStatements): number | undefined {
+function parseBackoffMs({rest}: AnswerStatements): number | undefined {
   return rest === undefined ? undefined : Number(rest) * 1_000;
 }
--- a/packages-private/soak/src/faultPlan.ts
+++ b/packages-private/soak/src/faultPlan.ts
@@ -6,8 +6,8 @@
 import type {SheddingFault} from './sheddingFaults.js';
 import type {ZoneFault} from './zoneFaults.js';
 
-/** What can go wrong from outside the programs. */
-export type FaultKind =
+/** A fault outside the programs, with its parameters. */
+export type Fault =
   | {readonly kind: 'storeLink'; readonly fault: LinkFault}
   | {readonly kind: 'storeBusy'}
   | {readonly kind: 'storeSilent'}
@@ -34,8 +34,8 @@
   | SheddingFault
   | ZoneFault;
 
-/** Faults that leave every entry in step with the store and with endpoints. */
-const HARMLESS_KINDS: ReadonlySet<FaultKind['kind']> = new Set([
+/** Faults that leave every entry connected to the store, endpoints and callers. */
+const NON_DISTURBING_KINDS: ReadonlySet<Fault['kind']> = new Set([
   'sidecarKilled',
   'sidecarPaused',
   'engineLeaves',
@@ -54,17 +54,17 @@
   'endpointAsksRest',
 ]);
 
-/** True for a fault in which an entry may not hear of a leave in time. */
-export function isDisturbance({kind}: FaultKind): boolean {
-  return !HARMLESS_KINDS.has(kind);
+/** True for a fault during which an entry may learn too late that an endpoint leaves. */
+export function isDisturbance({kind}: Fault): boolean {
+  return !NON_DISTURBING_KINDS.has(kind);
 }
 
-/** One fault of a run; faults may overlap. */
+/** One fault of a run, with its time. Faults may overlap. */
 export interface PlannedFault {
-  readonly what: FaultKind;
+  readonly what: Fault;
   readonly atMs: number;
   readonly forMs: number;
-  /** Chooses the target among those of the kind. */
+  /** Index of the target, modulo the number of targets of the kind. */
   readonly target: number;
 }
 
@@ -76,7 +76,7 @@
   {kind: 'answersLost'},
 ];
 
-const PLAIN_FAULTS: readonly FaultKind[] = [
+const NON_LINK_FAULTS: readonly Fault[] = [
   {kind: 'storeBusy'},
   {kind: 'storeSilent'},
   {kind: 'storeLosesAnswers'},
@@ -89,7 +89,8 @@
   {kind: 'sidecarKilled'},
   {kind: 'sidecarPaused'},
   {kind: 'engineLeaves'},
-  // Engines are taken away far more often than anything else happens.
+  // Drawn three times as often as the others: on the platform, engines leave far more often
+  // than anything else happens.
   {kind: 'engineLeaves'},
   {kind: 'engineLeaves'},
   {kind: 'engineCrashes'},
@@ -101,23 +102,25 @@
   {kind: 'allEntriesKilled'},
 ];
 
-/** Mean pause between the beginnings of two faults. */
+/** Mean time between the starts of two faults. */
 const MEAN_GAP_MS = 700;
 
-/** Faults last for some time between these. */
-const SHORTEST_MS = 300;
-const LONGEST_MS = 4_000;
+/** Bounds of a fault's duration, which is drawn uniformly. */
+const MIN_DURATION_MS = 300;
+const MAX_DURATION_MS = 4_000;
 
-/** The faults of one run; the same for the same seed. */
+/** Plans the faults of one run, in order of time. The same seed gives the same faults. */
 export function planFaults(seed: number, durationMs: number): PlannedFault[] {
   const random = createRandom(seed);
   const faults: PlannedFault[] = [];
   let atMs = MEAN_GAP_MS;
   while (atMs < durationMs) {
     faults.push({
-      what: drawKind(random),
+      what: drawFault(random),
       atMs: Math.round(atMs),
-      forMs: Math.round(SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS)),
+      forMs: Math.round(
+        MIN_DURATION_MS + random() * (MAX_DURATION_MS - MIN_DURATION_MS),
+      ),
       target: Math.floor(random() * 1_000),
     });
     atMs += -Math.log(1 - random()) * MEAN_GAP_MS;
@@ -125,12 +128,12 @@
   return faults;
 }
 
-function drawKind(random: Random): FaultKind {
+function drawFault(random: Random): Fault {
   const linkKinds = ['storeLink', 'engineLink', 'serviceLink'] as const;
-  const count = PLAIN_FAULTS.length + linkKinds.length;
+  const count = NON_LINK_FAULTS.length + linkKinds.length;
   const drawn = Math.floor(random() * count);
-  const plain = PLAIN_FAULTS[drawn];
-  if (plain !== undefined) return plain;
+  const nonLinkFault = NON_LINK_FAULTS[drawn];
+  if (nonLinkFault !== undefined) return nonLinkFault;
   const fault = LINK_FAULTS[Math.floor(random() * LINK_FAULTS.length)]!;
-  return {kind: linkKinds[drawn - PLAIN_FAULTS.length]!, fault};
+  return {kind: linkKinds[drawn - NON_LINK_FAULTS.length]!, fault};
 }
--- a/packages-private/soak/src/identityFaults.ts
+++ b/packages-private/soak/src/identityFaults.ts
@@ -1,14 +1,14 @@
 import {createRandom} from '@lilacledge/shared';
 import type {PlannedFault} from './faultPlan.js';
 
-/** What puts in doubt who an endpoint is. */
+/** A fault that leaves unclear which endpoint an id or a registration stands for. */
 export type IdentityFault =
   | {readonly kind: 'engineStartsAgain'; readonly leavesFirst: boolean}
   | {readonly kind: 'serviceStartsAgain'; readonly leavesFirst: boolean}
   | {readonly kind: 'strangeEntry'; readonly value: string};
 
-/** Entries of other writers, as the store may hold them for a while. */
-const STRANGE_VALUES: readonly string[] = [
+/** Registrations that another writer may have left in the store. */
+const MALFORMED_REGISTRATIONS: readonly string[] = [
   '',
   '{}',
   '[]',
@@ -17,14 +17,14 @@
   '{"service":"bookings","address":7,"zone":"north","slots":-1}',
 ];
 
-/** Mean pause between two of these, and how long they last at most. */
+/** Mean time between two of these faults, and their longest duration. */
 const MEAN_GAP_MS = 2_500;
-const LONGEST_MS = 3_000;
+const MAX_DURATION_MS = 3_000;
 
-/** Apart from other faults, so that a seed's own faults stay what they were. */
+/** Gives these faults a seed of their own, so that a seed's other faults stay the same. */
 const SEED_OFFSET = 1_000_003;
 
-/** Identity faults of one run, in order of time; the same for the same seed. */
+/** Plans identity faults, in order of time. The same seed gives the same faults. */
 export function planIdentityFaults(
   seed: number,
   durationMs: number,
@@ -34,7 +34,10 @@
   const nextMs = (): number => -Math.log(1 - random()) * MEAN_GAP_MS;
   for (let atMs = nextMs(); atMs < durationMs; atMs += nextMs()) {
     const drawn = random();
-    const value = STRANGE_VALUES[Math.floor(drawn * STRANGE_VALUES.length)]!;
+    const value =
+      MALFORMED_REGISTRATIONS[
+        Math.floor(drawn * MALFORMED_REGISTRATIONS.length)
+      ]!;
     const leavesFirst = drawn < 0.5;
     const kinds: readonly IdentityFault[] = [
       {kind: 'engineStartsAgain', leavesFirst},
@@ -44,7 +47,7 @@
     faults.push({
       what: kinds[Math.floor(random() * kinds.length)]!,
       atMs: Math.round(atMs),
-      forMs: Math.round(random() * LONGEST_MS),
+      forMs: Math.round(random() * MAX_DURATION_MS),
       target: Math.floor(random() * 1_000),
     });
   }
--- a/packages-private/soak/src/loopbackProxy.ts
+++ b/packages-private/soak/src/loopbackProxy.ts
@@ -2,24 +2,24 @@
 import type {Server, Socket} from 'node:net';
 import {systemClock} from '@lilacledge/shared';
 
-/** How a proxy treats the bytes that pass it. */
+/** How a proxy treats connections and their bytes. */
 export type LinkFault =
   | {readonly kind: 'none'}
   | {readonly kind: 'delayed'; readonly delayMs: number}
   /** Resets open connections and new ones. */
   | {readonly kind: 'reset'}
-  /** Connections stay open, and nothing passes either way. */
+  /** Connections stay open, but nothing is forwarded in either direction. */
   | {readonly kind: 'silent'}
-  /** What the server sends is lost; what it receives arrives. */
+  /** Bytes to the server are forwarded; bytes from the server are dropped. */
   | {readonly kind: 'answersLost'};
 
-/** A TCP proxy on loopback that can be told to misbehave. */
+/** A TCP proxy on the loopback interface that injects link faults. */
 export class LoopbackProxy {
   private fault: LinkFault = {kind: 'none'};
-  private readonly pairs = new Set<readonly [Socket, Socket]>();
+  private readonly connections = new Set<readonly [Socket, Socket]>();
   private readonly server: Server;
-  /** When the link has carried what is on its way to the client. */
-  private freeAtMs = 0;
+  /** Time at which all bytes on the way to the client have been transferred. */
+  private idleAtMs = 0;
 
   constructor(
     readonly port: number,
@@ -33,10 +33,10 @@
   }
 
   setFault(fault: LinkFault): void {
-    const wasStuck = isStuck(this.fault);
+    const droppedBytes = dropsBytes(this.fault);
     this.fault = fault;
-    // Bytes that were held up are lost: such connections never work again.
-    if (fault.kind === 'reset' || wasStuck) this.resetAll();
+    // Connections that lost bytes can't work again.
+    if (fault.kind === 'reset' || droppedBytes) this.resetAll();
   }
 
   close(): void {
@@ -45,66 +45,69 @@
   }
 
   private resetAll(): void {
-    for (const [near, far] of this.pairs) {
-      near.resetAndDestroy();
-      far.resetAndDestroy();
+    for (const [client, upstream] of this.connections) {
+      client.resetAndDestroy();
+      upstream.resetAndDestroy();
     }
   }
 
-  private accept(near: Socket): void {
+  private accept(client: Socket): void {
     const port = this.targetPort();
     if (port === undefined || this.fault.kind === 'reset') {
-      near.on('error', () => {});
-      near.resetAndDestroy();
+      client.on('error', () => {});
+      client.resetAndDestroy();
       return;
     }
-    const far = connect({port, host: '127.0.0.1', allowHalfOpen: true});
-    const pair = [near, far] as const;
-    this.pairs.add(pair);
-    this.pipe(near, far, 'towardsServer');
-    this.pipe(far, near, 'towardsClient');
-    for (const socket of pair) {
-      socket.on('close', () => this.pairs.delete(pair));
+    const upstream = connect({port, host: '127.0.0.1', allowHalfOpen: true});
+    const connection = [client, upstream] as const;
+    this.connections.add(connection);
+    this.pipe(client, upstream, 'towardsServer');
+    this.pipe(upstream, client, 'towardsClient');
+    for (const socket of connection) {
+      socket.on('close', () => this.connections.delete(connection));
     }
   }
 
   private pipe(
     from: Socket,
     to: Socket,
-    way: 'towardsServer' | 'towardsClient',
+    direction: 'towardsServer' | 'towardsClient',
   ): void {
     from.setNoDelay(true);
-    // A reset of one side is a reset of the other, as without a proxy.
+    // Passes a reset on to the other side, as without a proxy.
     from.on('error', () => to.resetAndDestroy());
     from.on('data', (chunk) => {
-      const deliver = (): void => this.pass(way, () => to.write(chunk));
-      const carriedMs =
-        way === 'towardsClient' ? this.carryMs(chunk.length) : 0;
-      if (carriedMs === 0) {
+      const deliver = (): void =>
+        this.forward(direction, () => to.write(chunk));
+      const transferMs =
+        direction === 'towardsClient'
+          ? this.reserveTransferMs(chunk.length)
+          : 0;
+      if (transferMs === 0) {
         deliver();
         return;
       }
-      // A window is one chunk: the next is read when this one has arrived.
+      // One chunk is in flight at a time: the next is read once this one is delivered.
       from.pause();
       setTimeout(() => {
         deliver();
         from.resume();
-      }, carriedMs);
+      }, transferMs);
     });
-    from.on('end', () => this.pass(way, () => to.end()));
-    from.on('close', () => this.pass(way, () => to.destroy()));
+    from.on('end', () => this.forward(direction, () => to.end()));
+    from.on('close', () => this.forward(direction, () => to.destroy()));
   }
 
-  /** Time until the link has carried so many bytes more. */
-  private carryMs(bytes: number): number {
+  /** Reserves the link for a transfer to the client; the result is the time until it is done. */
+  private reserveTransferMs(bytes: number): number {
     const nowMs = systemClock.nowMs();
-    const beginsMs = Math.max(this.freeAtMs, nowMs);
-    this.freeAtMs = beginsMs + bytes / this.bytesPerMs;
-    return this.freeAtMs - nowMs;
+    const startsAtMs = Math.max(this.idleAtMs, nowMs);
+    this.idleAtMs = startsAtMs + bytes / this.bytesPerMs;
+    return this.idleAtMs - nowMs;
   }
 
-  private pass(
-    way: 'towardsServer' | 'towardsClient',
+  private forward(
+    direction: 'towardsServer' | 'towardsClient',
     deliver: () => void,
   ): void {
     switch (this.fault.kind) {
@@ -115,7 +118,7 @@
         setTimeout(deliver, this.fault.delayMs);
         return;
       case 'answersLost':
-        if (way === 'towardsServer') deliver();
+        if (direction === 'towardsServer') deliver();
         return;
       case 'silent':
       case 'reset':
@@ -123,6 +126,6 @@
   }
 }
 
-function isStuck(fault: LinkFault): boolean {
+function dropsBytes(fault: LinkFault): boolean {
   return fault.kind === 'silent' || fault.kind === 'answersLost';
 }
--- a/packages-private/soak/src/portRange.ts
+++ b/packages-private/soak/src/portRange.ts
@@ -2,53 +2,53 @@
 import type {Server} from 'node:net';
 import {isFree} from '@lilacledge/localstack';
 
-/** Below the ports that the system gives to outgoing connections. */
-const FIRST_PORT = 10_000;
-const LAST_PORT = 32_000;
+/** Bounds of all ranges, below the ports that the system gives to outgoing connections. */
+const MIN_PORT = 10_000;
+const END_PORT = 32_000;
 
-/** Soaks side by side begin this far apart: a large one uses 1,500 ports. */
+/** Distance between the starts of two ranges; a large soak uses 1,500 ports. */
 const STRIDE_PORTS = 1_700;
 
-const RANGES = Math.floor((LAST_PORT - FIRST_PORT) / STRIDE_PORTS);
+const RANGE_COUNT = Math.floor((END_PORT - MIN_PORT) / STRIDE_PORTS);
 
 /**
- * Hands out ports of the loopback interface; none is handed out twice. The first port of a
- * range is held for as long as it is used, so that soaks side by side have ranges of their own.
+ * Hands out ports of the loopback interface, each at most once. Listens on the first port of a
+ * range to reserve it, so that concurrent soaks use different ranges.
  */
 export class PortRange {
-  private next: number;
+  private nextPort: number;
 
   private constructor(
-    private readonly guard: Server,
+    private readonly rangeLock: Server,
     first: number,
   ) {
-    this.next = first + 1;
+    this.nextPort = first + 1;
   }
 
-  /** The range of a seed, or the next one that no other soak has. */
+  /** Opens the range of a seed, or the next one that no other soak uses. */
   static async open(seed: number): Promise<PortRange> {
-    for (let index = 0; index < RANGES; index++) {
-      const first = FIRST_PORT + ((seed + index) % RANGES) * STRIDE_PORTS;
-      const guard = await hold(first);
-      if (guard !== undefined) return new PortRange(guard, first);
+    for (let index = 0; index < RANGE_COUNT; index++) {
+      const first = MIN_PORT + ((seed + index) % RANGE_COUNT) * STRIDE_PORTS;
+      const rangeLock = await tryListen(first);
+      if (rangeLock !== undefined) return new PortRange(rangeLock, first);
     }
-    throw new Error('no free range of ports is left');
+    throw new Error('all port ranges are in use');
   }
 
   close(): void {
-    this.guard.close();
+    this.rangeLock.close();
   }
 
-  /** A port that nothing listens on now. */
+  /** Returns the next port that nothing listens on. */
   async take(): Promise<number> {
-    while (this.next < LAST_PORT) {
-      const port = this.next++;
+    while (this.nextPort < END_PORT) {
+      const port = this.nextPort++;
       if (await isFree(port)) return port;
     }
-    throw new Error('no free port is left');
+    throw new Error('no free port is left for the soak');
   }
 
-  /** The first of two free ports in a row. */
+  /** Returns the first of two consecutive free ports. */
   async takePair(): Promise<number> {
     let first = await this.take();
     for (;;) {
@@ -59,8 +59,8 @@
   }
 }
 
-/** Listens on a port; undefined where another process does. */
-function hold(port: number): Promise<Server | undefined> {
+/** Listens on a port; resolves with undefined when it is in use. */
+function tryListen(port: number): Promise<Server | undefined> {
   return new Promise((resolve) => {
     const server = createServer();
     server.once('error', () => resolve(undefined));
--- a/packages-private/soak/src/program.ts
+++ b/packages-private/soak/src/program.ts
@@ -9,25 +9,25 @@
 import {systemClock} from '@lilacledge/shared';
 import {describeEnd, isBroughtAbout} from './ownEnd.js';
 
-const BUNDLE = fileURLToPath(
+const BUNDLE_PATH = fileURLToPath(
   new URL('../../../target/lilacledged.cjs', import.meta.url),
 );
 
-/** Pause until a program that ended is started again. */
-const RESTART_PAUSE_MS = 150;
+/** Delay until a program that ended is restarted. */
+const RESTART_DELAY_MS = 150;
 
-/** A real program in a process of its own, started again when it ends. */
+/** A real program in a process of its own, restarted whenever it ends. */
 export class Program {
-  /** Counts the starts: knowledge of one is no knowledge of the next. */
+  /** Number of starts so far. Each start is a new process that keeps no state of the last one. */
   incarnation = 0;
   private child: ChildProcess | undefined;
-  private isOver = false;
+  private isClosed = false;
   private readonly log: WriteStream;
   private readonly settingsPath: string;
   private killTimer: NodeJS.Timeout | undefined;
-  /** True once it was told to end. */
-  private isTold = false;
-  /** True while the program runs that was started after it had been told to end. */
+  /** True once the running program was told to end. */
+  private isEnding = false;
+  /** True while a program runs that was started after a requested end. */
   private isRestart = false;
   private startedAtMs = 0;
   /** Signals that the running program was sent. */
@@ -37,9 +37,9 @@
     readonly role: 'entry' | 'sidecar',
     readonly node: StandinNode,
     folder: string,
-    /** Hears of an end that nobody asked for. */
+    /** Called when the program ends without having been told to. */
     private readonly onOwnEnd: (end: string) => void,
-    /** Hears of each end. */
+    /** Called at each end of the program. */
     private readonly onEnd: () => void,
   ) {
     this.settingsPath = join(folder, `${node.name}.toml`);
@@ -52,7 +52,7 @@
     return this.child !== undefined;
   }
 
-  /** Only its first start is one of the whole deployment. */
+  /** Writes the settings file; only the first start counts as that of the deployment. */
   writeSettings(node: StandinNode): void {
     const isFirstStart = node.isFirstStart && this.incarnation === 0;
     const text = nodeSettingsText({...node, isFirstStart});
@@ -60,15 +60,15 @@
   }
 
   signal(signal: NodeJS.Signals): void {
-    if (signal === 'SIGKILL') this.isTold = true;
+    if (signal === 'SIGKILL') this.isEnding = true;
     this.sent.add(signal);
     this.child?.kill(signal);
   }
 
-  /** As the platform stops a process: SIGTERM, and SIGKILL after the grace. */
+  /** Stops the program as the platform does: SIGTERM, then SIGKILL after the grace period. */
   stopGracefully(): void {
     const {child} = this;
-    this.isTold = true;
+    this.isEnding = true;
     child?.kill('SIGTERM');
     this.killTimer = setTimeout(
       () => child?.kill('SIGKILL'),
@@ -76,9 +76,9 @@
     );
   }
 
-  /** Ends the program for good. */
+  /** Ends the program without a restart. */
   async close(): Promise<void> {
-    this.isOver = true;
+    this.isClosed = true;
     clearTimeout(this.killTimer);
     const {child} = this;
     if (child !== undefined) {
@@ -90,13 +90,13 @@
   }
 
   private start(): void {
-    if (this.isOver) return;
+    if (this.isClosed) return;
     this.incarnation++;
     this.startedAtMs = systemClock.nowMs();
     this.sent.clear();
     const child = spawn(
       process.execPath,
-      ['--max-old-space-size=110', BUNDLE, this.role],
+      ['--max-old-space-size=110', BUNDLE_PATH, this.role],
       {
         env: {...process.env, LILACLEDGE_BOOT: this.settingsPath},
         stdio: ['ignore', 'pipe', 'pipe'],
@@ -106,14 +106,14 @@
     child.stdout.pipe(this.log, {end: false});
     child.stderr.pipe(this.log, {end: false});
     child.once('exit', (code, signal) => {
-      if (!this.isTold && !this.isOver) this.noteOwnEnd(code, signal);
+      if (!this.isEnding && !this.isClosed) this.noteOwnEnd(code, signal);
       this.onEnd();
-      this.isRestart = this.isTold;
-      this.isTold = false;
+      this.isRestart = this.isEnding;
+      this.isEnding = false;
       clearTimeout(this.killTimer);
       this.child = undefined;
       this.writeSettings(this.node);
-      setTimeout(() => this.start(), RESTART_PAUSE_MS);
+      setTimeout(() => this.start(), RESTART_DELAY_MS);
     });
   }
 
--- a/packages-private/soak/src/runSoak.ts
+++ b/packages-private/soak/src/runSoak.ts
@@ -16,43 +16,43 @@
 import {planSheddingFaults} from './sheddingFaults.js';
 import type {Attempt} from './soakEvent.js';
 import {SoakLoad} from './soakLoad.js';
-import {shapeOf} from './soakShape.js';
+import {createDefaultShape} from './soakShape.js';
 import type {SoakShape} from './soakShape.js';
 import {planZoneFaults} from './zoneFaults.js';
 
-/** What a soak is asked to do. */
+/** What a soak runs, and under which faults. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Time in which faults are brought. */
+  /** Time during which faults are injected. */
   readonly durationMs: number;
-  /** Programs, about; a shape says it apart by role. */
+  /** Approximate number of programs; a shape gives the numbers by role instead. */
   readonly processes: number;
   readonly shape?: SoakShape;
   readonly print: (line: string) => void;
-  /** Also brings faults that put in doubt who an endpoint is. */
+  /** Also injects faults that leave unclear which endpoint an id stands for. */
   readonly hasIdentityFaults?: boolean;
   /** Also evacuates zones. */
   readonly hasZoneFaults?: boolean;
-  /** Also has a caller whose request ends each engine that runs it. */
-  readonly hasDeadlyRequests?: boolean;
-  /** Also has a caller that leaves before its drafts are whole. */
+  /** Also has a caller whose requests crash each engine that runs them. */
+  readonly hasCrashingRequests?: boolean;
+  /** Also has a caller that disconnects before its drafts are complete. */
   readonly hasLeavingCaller?: boolean;
-  /** Instead of all else, endpoints reject most while entries start anew again and again. */
+  /** Instead of the usual faults, endpoints reject most requests while entries restart. */
   readonly hasShedding?: boolean;
-  /** Instead of all else, plain endpoints answer half of their calls with errors. */
-  readonly hasFailing?: boolean;
-  /** Instead of all else, endpoints say things of themselves in their answers. */
+  /** Instead of the usual faults, plain endpoints answer half of their calls with errors. */
+  readonly hasFailingEndpoints?: boolean;
+  /** Instead of the usual faults, endpoints announce limits, leaves and backoffs in answers. */
   readonly hasStatements?: boolean;
   /**
-   * Instead of all else, endpoints leave while a large configuration changes in series
-   * on small links to the store.
+   * Instead of the usual faults, endpoints leave while a large configuration keeps changing
+   * over slow links to the store.
    */
   readonly hasLargeConfig?: boolean;
-  /** Brought instead of those of the seed, to narrow a failure down. */
+  /** Injected instead of the faults of the seed, to narrow a failure down. */
   readonly faults?: readonly PlannedFault[];
 }
 
-/** What became of a soak. */
+/** The result of a soak. */
 export interface SoakVerdict {
   readonly seed: number;
   readonly processes: number;
@@ -60,51 +60,54 @@
   readonly attempts: number;
   readonly good: number;
   readonly runs: number;
-  /** Engines that ended under the deadly request. */
+  /** Engines that crashed under the crashing request. */
   readonly deadlyEnds: number;
-  /** Sends beyond the first of a request that reached an endpoint. */
+  /** Sends after the first one of a request that reached an endpoint. */
   readonly repeats: number;
-  /** Callers that left while an engine was at work for them, and could be judged. */
+  /** Callers that disconnected while an engine ran their request, and that could be checked. */
   readonly callersLeft: number;
-  /** Requests that reached endpoints which named a rate. */
+  /** Requests that reached endpoints while they announced a rate limit. */
   readonly limited: number;
-  /** Requests that reached endpoints which said in their answers that they leave. */
+  /** Requests that reached endpoints while they announced their leave in answers. */
   readonly atLeaving: number;
-  /** Rejections by which endpoints asked for rest. */
+  /** Rejections by which endpoints requested a backoff. */
   readonly rests: number;
   readonly violations: readonly string[];
-  /** Where the programs' logs are, when a promise was broken. */
+  /** Folder of the programs' logs, kept when a guarantee was violated. */
   readonly logFolder: string | undefined;
 }
 
-/** What was seen, kept with the programs' logs when a promise was broken. */
+/** The observed events, kept with the programs' logs when a guarantee was violated. */
 const EVENTS_FILE = 'events.jsonl';
 
-/** Faults last up to 4 s, endpoints are back 6 s later, and then entries settle. */
+/**
+ * Time for entries to settle after the last fault, which lasts up to 4 s; endpoints are back
+ * 6 s later.
+ */
 const SETTLE_MS = 10_000;
 
-/** Time without faults in which nearly everything must be served. */
-const CALM_MS = 3_000;
+/** Time without faults during which nearly all requests must be served. */
+const FAULT_FREE_MS = 3_000;
 
-/** What is asked in the calm must be served but for this share. */
-const MOST_UNSERVED_SHARE = 0.02;
+/** Largest share of the requests without faults that may stay unserved. */
+const MAX_UNSERVED_SHARE = 0.02;
 
-/** Time that an entry has to come back after a graceful stop. */
-const BACK_MS = 1_500;
+/** Time for an entry to restart after a graceful stop. */
+const RESTART_MS = 1_500;
 
-/** Apart from other draws, so that a seed's own stay what they were. */
-const LEAVING_SEED_OFFSET = 4_000_037;
+/** Gives the leaving caller a seed of its own, so that a seed's other draws stay the same. */
+const LEAVING_CALLER_SEED_OFFSET = 4_000_037;
 
-/** How often promises are checked while the soak runs. */
+/** Interval at which the guarantees are checked while the soak runs. */
 const CHECK_INTERVAL_MS = 2_000;
 
-/** Endpoints serve on for 3 s after they left; what comes then is too late. */
-const LEAVE_MS = 3_200;
+/** Endpoints keep serving for 3 s after they leave; requests that arrive then are recorded. */
+const LEAVE_SETTLE_MS = 3_200;
 
-/** Entries that are stopped gracefully at the end, one after the other. */
-const MOST_ROLLED = 4;
+/** Number of entries that are stopped gracefully at the end, one after the other. */
+const MAX_STOPS = 4;
 
-/** Runs the real programs under faults, and judges what callers saw. */
+/** Runs the real programs under faults and checks the guarantees to callers. */
 export async function runSoak(options: SoakOptions): Promise<SoakVerdict> {
   const folder = mkdtempSync(join(tmpdir(), 'lilacledge-soak-'));
   const events = createWriteStream(join(folder, EVENTS_FILE));
@@ -112,7 +115,7 @@
     events.write(`${JSON.stringify(event)}\n`);
   });
   const ports = await PortRange.open(options.seed);
-  const shape = options.shape ?? shapeOf(options.processes);
+  const shape = options.shape ?? createDefaultShape(options.processes);
   const fleet = await SoakFleet.start(
     shape,
     ledger,
@@ -126,30 +129,30 @@
     ledger,
     random,
     `s${options.seed}`,
-    options.hasDeadlyRequests,
+    options.hasCrashingRequests,
     options.hasLeavingCaller === true
-      ? createRandom(options.seed + LEAVING_SEED_OFFSET)
+      ? createRandom(options.seed + LEAVING_CALLER_SEED_OFFSET)
       : undefined,
   );
-  const faults = options.faults ?? planAll(options, shape);
+  const faults = options.faults ?? planSelectedFaults(options, shape);
   const violations: string[] = [];
-  const checks = watchPromises(ledger, options.print);
+  const printer = printViolations(ledger, options.print);
   try {
     load.start();
-    await bringFaults(fleet, faults, options);
-    load.stopDeadlyRequests();
+    await injectFaults(fleet, faults, options);
+    load.stopCrashingRequests();
     await sleep(systemClock, SETTLE_MS);
-    violations.push(...(await judgeCalm(fleet, load, ledger)));
-    await letEndpointsLeave(fleet);
-    violations.push(...(await judgeRolling(fleet, ledger)));
+    violations.push(...(await checkAfterFaults(fleet, load, ledger)));
+    await checkLeavingEndpoints(fleet);
+    violations.push(...(await checkGracefulStops(fleet, ledger)));
     await load.stop();
   } finally {
-    checks.stop();
+    printer.stop();
     await fleet.close();
     ports.close();
     await new Promise<void>((resolve) => events.end(resolve));
   }
-  violations.push(...load.regressions, ...ledger.violations());
+  violations.push(...load.versionRegressions, ...ledger.violations());
   const isKept = violations.length > 0;
   if (!isKept) rmSync(folder, {recursive: true});
   return {
@@ -157,7 +160,7 @@
     processes: fleet.processCount,
     faults: faults.length,
     attempts: ledger.attempts.length,
-    good: ledger.attempts.filter(isGood).length,
+    good: ledger.attempts.filter(isSuccessful).length,
     runs: ledger.runCount,
     deadlyEnds: ledger.deadly.count,
     repeats: ledger.repeats.count,
@@ -170,10 +173,13 @@
   };
 }
 
-function planAll(options: SoakOptions, shape: SoakShape): PlannedFault[] {
+function planSelectedFaults(
+  options: SoakOptions,
+  shape: SoakShape,
+): PlannedFault[] {
   const {seed, durationMs} = options;
   if (options.hasStatements === true) return planAnswerFaults(seed, durationMs);
-  if (options.hasFailing === true) {
+  if (options.hasFailingEndpoints === true) {
     return planFailingFaults(shape.services, durationMs);
   }
   if (options.hasShedding === true) return planSheddingFaults(seed, durationMs);
@@ -188,7 +194,7 @@
   return faults.sort((a, b) => a.atMs - b.atMs);
 }
 
-async function bringFaults(
+async function injectFaults(
   fleet: SoakFleet,
   faults: readonly PlannedFault[],
   {durationMs, print}: SoakOptions,
@@ -200,87 +206,91 @@
     await sleep(systemClock, untilNext(fault.atMs));
     const {what, atMs, forMs, target} = fault;
     print(`${atMs} ms: ${JSON.stringify(what)} for ${forMs} ms at ${target}`);
-    fleet.apply(fault);
+    fleet.inject(fault);
   }
   await sleep(systemClock, untilNext(durationMs));
 }
 
-/** Says at once what is broken, and not only at the end. */
-function watchPromises(
+/** Prints violations as they occur, not only at the end. */
+function printViolations(
   ledger: Ledger,
   print: (line: string) => void,
 ): {stop(): void} {
-  let known = 0;
+  let printed = 0;
   const timer = setInterval(() => {
-    const broken = ledger.violations();
-    for (const text of broken.slice(known)) print(`broken: ${text}`);
-    known = Math.max(known, broken.length);
+    const violations = ledger.violations();
+    for (const text of violations.slice(printed)) print(`violation: ${text}`);
+    printed = Math.max(printed, violations.length);
   }, CHECK_INTERVAL_MS);
   return {stop: () => clearInterval(timer)};
 }
 
-/** Once faults are over, all is served and the newest configuration holds. */
-async function judgeCalm(
+/** Checks that entries serve requests and the newest configuration once faults are over. */
+async function checkAfterFaults(
   fleet: SoakFleet,
   load: SoakLoad,
   ledger: Ledger,
 ): Promise<string[]> {
-  const broken: string[] = [];
+  const violations: string[] = [];
   const startMs = systemClock.nowMs();
   for (const entry of fleet.entries) {
     if (await load.serves(entry, fleet.version)) continue;
-    broken.push(`${entry.program.node.name} lacks version ${fleet.version}`);
+    violations.push(
+      `${entry.program.node.name} lacks version ${fleet.version}`,
+    );
   }
-  await sleep(systemClock, CALM_MS);
-  const idle = fleet.startedAgain.filter(({id, atMs}) =>
+  await sleep(systemClock, FAULT_FREE_MS);
+  const idle = fleet.readyRestarts.filter(({id, atMs}) =>
     ledger.isIdleSince(id, atMs),
   );
-  broken.push(...idle.map(({id}) => `${id} started again and got no work`));
-  const asked = ledger.attempts.filter(({sentAtMs}) => sentAtMs >= startMs);
-  const unserved = asked.filter((attempt) => !isGood(attempt));
-  const isServed = unserved.length <= asked.length * MOST_UNSERVED_SHARE;
-  if (asked.length === 0 || !isServed) {
+  violations.push(...idle.map(({id}) => `${id} restarted and got no work`));
+  const recent = ledger.attempts.filter(({sentAtMs}) => sentAtMs >= startMs);
+  const unserved = recent.filter((attempt) => !isSuccessful(attempt));
+  const isServed = unserved.length <= recent.length * MAX_UNSERVED_SHARE;
+  if (recent.length === 0 || !isServed) {
     const first = unserved.slice(0, 3).map(describeAttempt).join('; ');
-    broken.push(`${unserved.length} of ${asked.length} unserved: ${first}`);
+    violations.push(
+      `${unserved.length} of ${recent.length} unserved: ${first}`,
+    );
   }
-  return broken;
+  return violations;
 }
 
-/** The ledger tells of what reaches endpoints later than it may. */
-async function letEndpointsLeave(fleet: SoakFleet): Promise<void> {
-  await fleet.leaveAfterCut();
-  await sleep(systemClock, LEAVE_MS);
+/** Lets endpoints leave; the ledger records a violation when they get work too late. */
+async function checkLeavingEndpoints(fleet: SoakFleet): Promise<void> {
+  await fleet.leaveAfterWatchCut();
+  await sleep(systemClock, LEAVE_SETTLE_MS);
 }
 
-/** Graceful stops under load cut nothing off. */
-async function judgeRolling(
+/** Checks that graceful stops under load cut no answer off. */
+async function checkGracefulStops(
   fleet: SoakFleet,
   ledger: Ledger,
 ): Promise<string[]> {
-  const broken: string[] = [];
-  for (const {program, readyUrl} of fleet.entries.slice(0, MOST_ROLLED)) {
+  const violations: string[] = [];
+  for (const {program, readyUrl} of fleet.entries.slice(0, MAX_STOPS)) {
     const stoppedAtMs = systemClock.nowMs();
     program.stopGracefully();
-    await sleep(systemClock, GRACE_S * 1_000 + BACK_MS);
+    await sleep(systemClock, GRACE_S * 1_000 + RESTART_MS);
     await waitForOk(readyUrl);
     const cut = ledger.attempts.filter((attempt) => {
       const isHere = attempt.entry === program.node.name;
       const wasOpen = attempt.endedAtMs >= stoppedAtMs;
       return isHere && wasOpen && isCutByStop(attempt, stoppedAtMs);
     });
-    broken.push(
+    violations.push(
       ...cut.map((one) => `cut by a graceful stop: ${describeAttempt(one)}`),
     );
   }
-  return broken;
+  return violations;
 }
 
-function isGood({status, isComplete}: Attempt): boolean {
+function isSuccessful({status, isComplete}: Attempt): boolean {
   return status === 200 && isComplete;
 }
 
 function describeAttempt(attempt: Attempt): string {
   const {kind, requestId, entry, status, isComplete} = attempt;
   const tookMs = Math.round(attempt.endedAtMs - attempt.sentAtMs);
-  return `${kind} ${requestId} at ${entry}: ${status}, ${isComplete ? 'whole' : 'cut'}, ${tookMs} ms`;
+  return `${kind} ${requestId} at ${entry}: ${status}, ${isComplete ? 'complete' : 'cut'}, ${tookMs} ms`;
 }
--- a/packages-private/soak/src/soakFleet.ts
+++ b/packages-private/soak/src/soakFleet.ts
@@ -8,8 +8,8 @@
 import {assertNever, sleep, systemClock} from '@lilacledge/shared';
 import {NO_BULK} from './bulkFaults.js';
 import type {BulkSettings} from './bulkFaults.js';
-import {EnginePlace, ServicePlace} from './endpointPlaces.js';
-import type {PlaceSettings, StartedAgain} from './endpointPlaces.js';
+import {EngineHost, ServiceHost} from './endpointPlaces.js';
+import type {EndpointRestart, HostSettings} from './endpointPlaces.js';
 import {isDisturbance} from './faultPlan.js';
 import type {PlannedFault} from './faultPlan.js';
 import {DRAIN_MS} from './leaveLedger.js';
@@ -23,36 +23,36 @@
 
 const ZONES = ['north', 'south', 'west'] as const;
 
-/** A graceful stop may take this long. */
+/** Grace period of a graceful stop. */
 export const GRACE_S = 4;
 
-/** A stopped entry serves for the grace, and is back after this at the latest. */
-const LONGEST_RESTART_MS = GRACE_S * 1_000 + 1_500;
+/** Longest time until a stopped entry serves again: its grace period and its restart. */
+const MAX_RESTART_MS = GRACE_S * 1_000 + 1_500;
 
-/** A watch that was cut is asked again within 60 ms. */
-const WATCH_AGAIN_MS = 100;
+/** Entries reopen a watch within 60 ms of its end. */
+const WATCH_REOPEN_MS = 100;
 
 const NO_FAULT: LinkFault = {kind: 'none'};
 
-/** An entry with where its callers and its balancer find it. */
+/** An entry, with the URLs that its callers and its load balancer use. */
 export interface SoakEntry {
   readonly program: Program;
   readonly url: string;
   readonly readyUrl: string;
 }
 
-/** The real programs of one soak, and the stand-ins around them. */
+/** The real programs of one soak, and the stand-ins for endpoints and the store. */
 export class SoakFleet {
   readonly entries: SoakEntry[] = [];
-  /** Version of the configuration that the operator wrote last. */
+  /** Version of the configuration that was written last. */
   version = 0;
   private readonly store: FakeStore;
   private readonly sidecars: Program[] = [];
   private readonly storeProxies: LoopbackProxy[] = [];
-  private readonly engines: EnginePlace[] = [];
-  private readonly services: ServicePlace[] = [];
-  /** Orders that each zone was given so far. */
-  private readonly orders = new Map<string, number>();
+  private readonly engines: EngineHost[] = [];
+  private readonly services: ServiceHost[] = [];
+  /** Number of evacuations by zone so far. */
+  private readonly evacuationCounts = new Map<string, number>();
 
   private constructor(
     private readonly ports: PortRange,
@@ -65,7 +65,7 @@
     this.store = new FakeStore(storePort);
   }
 
-  /** Starts the programs of a shape and waits until entries are ready. */
+  /** Starts the programs of a shape and waits until the entries are ready. */
   static async start(
     shape: SoakShape,
     ledger: Ledger,
@@ -83,7 +83,7 @@
       await Promise.all(fleet.entries.map(({readyUrl}) => waitForOk(readyUrl)));
       return fleet;
     } catch (error) {
-      // No process that was started may stay behind.
+      // Leaves no started process behind.
       await fleet.close();
       throw error;
     }
@@ -93,18 +93,18 @@
     return this.entries.length + this.sidecars.length;
   }
 
-  private get places(): Array<EnginePlace | ServicePlace> {
+  private get endpointHosts(): Array<EngineHost | ServiceHost> {
     return [...this.engines, ...this.services];
   }
 
-  /** Endpoints that are ready in a later life under their id, and since when. */
-  get startedAgain(): StartedAgain[] {
-    return this.places
-      .map(({startedAgain}) => startedAgain)
-      .filter((again) => again !== undefined);
+  /** Restarts of endpoints under the same id whose current incarnation is ready. */
+  get readyRestarts(): EndpointRestart[] {
+    return this.endpointHosts
+      .map(({readyRestart}) => readyRestart)
+      .filter((restart) => restart !== undefined);
   }
 
-  /** The operator writes a version that is `step` higher. */
+  /** Writes a configuration whose version is `step` higher. */
   writeNextConfig(step: number): void {
     this.version += step;
     const {unusedRoutes} = this.bulk;
@@ -112,26 +112,26 @@
   }
 
   /**
-   * Cuts the watches for endpoints, as any may be, and lets two of the plain
-   * endpoints leave once entries watch again: one says so, and one does not.
+   * Ends the watches on registrations, which may happen at any time, and lets two plain
+   * endpoints leave once entries watch again: one drains first, and one unregisters at once.
    */
-  async leaveAfterCut(): Promise<void> {
+  async leaveAfterWatchCut(): Promise<void> {
     this.store.cutWatches('servers/');
-    await sleep(systemClock, WATCH_AGAIN_MS);
+    await sleep(systemClock, WATCH_REOPEN_MS);
     const [first, second] = this.services;
     void first?.leave();
     void second?.leaveSilently();
   }
 
-  /** Begins a fault and ends it after its time. */
-  apply(fault: PlannedFault): void {
+  /** Starts a fault, and ends it after its duration. */
+  inject(fault: PlannedFault): void {
     if (isDisturbance(fault.what)) {
       const nowMs = systemClock.nowMs();
-      const endMs = nowMs + Math.max(fault.forMs, LONGEST_RESTART_MS);
+      const endMs = nowMs + Math.max(fault.forMs, MAX_RESTART_MS);
       this.ledger.note({type: 'disturbed', fromMs: nowMs, untilMs: endMs});
     }
-    const end = this.begin(fault);
-    if (end !== undefined) setTimeout(end, fault.forMs);
+    const endFault = this.startFault(fault);
+    if (endFault !== undefined) setTimeout(endFault, fault.forMs);
   }
 
   async close(): Promise<void> {
@@ -140,7 +140,7 @@
       ...this.sidecars,
     ];
     await Promise.all(programs.map((program) => program.close()));
-    for (const place of this.places) place.close();
+    for (const host of this.endpointHosts) host.close();
     for (const proxy of this.storeProxies) proxy.close();
     this.store.close();
   }
@@ -149,17 +149,20 @@
     const {engines, services} = this.shape;
     const fleet = new Map();
     for (let index = 0; index < engines; index++) {
-      const settings = await this.place(`engine-${index}`, index);
-      this.engines.push(new EnginePlace(settings, fleet));
+      const settings = await this.createHostSettings(`engine-${index}`, index);
+      this.engines.push(new EngineHost(settings, fleet));
     }
     for (let index = 0; index < services; index++) {
-      const settings = await this.place(`service-${index}`, index);
-      this.services.push(new ServicePlace(settings));
+      const settings = await this.createHostSettings(`service-${index}`, index);
+      this.services.push(new ServiceHost(settings));
     }
-    await Promise.all(this.places.map((place) => place.start()));
+    await Promise.all(this.endpointHosts.map((host) => host.start()));
   }
 
-  private async place(name: string, index: number): Promise<PlaceSettings> {
+  private async createHostSettings(
+    name: string,
+    index: number,
+  ): Promise<HostSettings> {
     const {ledger} = this;
     const zone = pick(ZONES, index);
     return {
@@ -174,19 +177,19 @@
   }
 
   private async startPrograms(): Promise<void> {
-    const controls: string[] = [];
+    const controlAddresses: string[] = [];
     for (let index = 0; index < this.shape.entries; index++) {
-      controls.push(`127.0.0.1:${await this.ports.take()}`);
+      controlAddresses.push(`127.0.0.1:${await this.ports.take()}`);
     }
-    const seeds = controls.slice(0, 3);
-    for (const [index, control] of controls.entries()) {
+    const seeds = controlAddresses.slice(0, 3);
+    for (const [index, control] of controlAddresses.entries()) {
       const callers = `127.0.0.1:${await this.ports.take()}`;
       const readiness = `127.0.0.1:${await this.ports.take()}`;
       const node = {
-        ...(await this.node(`entry-${index}`, pick(ZONES, index), seeds)),
+        ...(await this.createNode(`entry-${index}`, pick(ZONES, index), seeds)),
         entry: {callers, readiness, control},
       };
-      const program = this.program('entry', node);
+      const program = this.startProgram('entry', node);
       this.entries.push({
         program,
         url: `http://${callers}`,
@@ -195,20 +198,20 @@
     }
     for (const engine of this.engines) {
       const node = {
-        ...(await this.node(`side-${engine.name}`, engine.zone, seeds)),
+        ...(await this.createNode(`side-${engine.name}`, engine.zone, seeds)),
         endpointAddress: `127.0.0.1:${engine.publicPort}`,
       };
-      this.sidecars.push(this.program('sidecar', node));
+      this.sidecars.push(this.startProgram('sidecar', node));
     }
   }
 
-  private program(role: Program['role'], node: StandinNode): Program {
+  private startProgram(role: Program['role'], node: StandinNode): Program {
     const {ledger} = this;
     return new Program(
       role,
       node,
       this.folder,
-      (end) => ledger.note({type: 'ownEnd', text: end}),
+      (description) => ledger.note({type: 'ownEnd', text: description}),
       () => {
         const atMs = systemClock.nowMs();
         ledger.note({type: 'entryEnded', atMs, entry: node.name});
@@ -216,8 +219,8 @@
     );
   }
 
-  /** Each program reaches the store by a proxy of its own. */
-  private async node(
+  /** Creates the settings of a program, which reaches the store through a proxy of its own. */
+  private async createNode(
     name: string,
     zone: string,
     seeds: readonly string[],
@@ -241,8 +244,12 @@
     };
   }
 
-  /** Resolves with what ends the fault; undefined when it ends by itself. */
-  private begin({what, target, forMs}: PlannedFault): (() => void) | undefined {
+  /** Starts a fault; returns the function that ends it, or undefined if it ends by itself. */
+  private startFault({
+    what,
+    target,
+    forMs,
+  }: PlannedFault): (() => void) | undefined {
     const {store} = this;
     const {program: entry} = pick(this.entries, target);
     const sidecar = pick(this.sidecars, target);
@@ -250,19 +257,19 @@
     const service = pick(this.services, target);
     switch (what.kind) {
       case 'storeLink':
-        return broken(pick(this.storeProxies, target), what.fault);
+        return startLinkFault(pick(this.storeProxies, target), what.fault);
       case 'storeBusy':
-        return this.storeIn(StoreMode.BUSY);
+        return this.setStoreMode(StoreMode.BUSY);
       case 'storeSilent':
-        return this.storeIn(StoreMode.SILENT);
+        return this.setStoreMode(StoreMode.SILENT);
       case 'storeLosesAnswers':
-        return this.storeIn(StoreMode.LOSES_ANSWERS);
+        return this.setStoreMode(StoreMode.LOSES_ANSWERS);
       case 'storeCompacted':
         store.compact();
         return undefined;
       case 'storeDownWithLapse':
         store.lapseLeases();
-        return this.storeIn(StoreMode.RESET);
+        return this.setStoreMode(StoreMode.RESET);
       case 'entryStopped':
         entry.stopGracefully();
         return undefined;
@@ -270,7 +277,7 @@
         entry.signal('SIGKILL');
         return undefined;
       case 'entryPaused':
-        return paused(entry);
+        return pause(entry);
       case 'entryReloaded':
         entry.writeSettings({...entry.node, drainMs: DRAIN_MS - (forMs % 2)});
         entry.signal('SIGHUP');
@@ -279,9 +286,9 @@
         sidecar.signal('SIGKILL');
         return undefined;
       case 'sidecarPaused':
-        return paused(sidecar);
+        return pause(sidecar);
       case 'engineLink':
-        return broken(engine.proxy, what.fault);
+        return startLinkFault(engine.proxy, what.fault);
       case 'engineLeaves':
         void engine.leave();
         return undefined;
@@ -292,7 +299,7 @@
         engine.resetsRequests = true;
         return () => (engine.resetsRequests = false);
       case 'serviceLink':
-        return broken(service.proxy, what.fault);
+        return startLinkFault(service.proxy, what.fault);
       case 'serviceLeaves':
         void service.leave();
         return undefined;
@@ -300,27 +307,31 @@
         service.isFailing = true;
         return () => (service.isFailing = false);
       case 'engineStartsAgain':
-        void engine.startAgain(what.leavesFirst);
+        void engine.restart(what.leavesFirst);
         return undefined;
       case 'serviceStartsAgain':
-        void service.startAgain(what.leavesFirst);
+        void service.restart(what.leavesFirst);
         return undefined;
       case 'strangeEntry': {
-        const place = target % 2 === 0 ? engine : service;
-        place.spoil(what.value);
-        // Endpoints write their entries anew with each heartbeat.
-        return () => place.restore();
+        const host = target % 2 === 0 ? engine : service;
+        host.corruptRegistration(what.value);
+        // Real endpoints rewrite their registration with each heartbeat.
+        return () => host.restore();
       }
       case 'zoneEvacuated':
         return this.evacuate(pick(ZONES, target));
       case 'endpointsShed':
-        return this.shed(what.share);
+        return this.startShedding(what.share);
       case 'endpointNamesRate':
-        return pick(this.places, target).say({limit: String(what.perS)});
+        return pick(this.endpointHosts, target).startAnnouncing({
+          limit: String(what.perS),
+        });
       case 'endpointSaysLeave':
-        return pick(this.places, target).sayLeave();
+        return pick(this.endpointHosts, target).startAnnouncingLeave();
       case 'endpointAsksRest':
-        return pick(this.places, target).say({rest: String(what.restS)});
+        return pick(this.endpointHosts, target).startAnnouncing({
+          rest: String(what.restS),
+        });
       case 'configChange':
         this.writeNextConfig(1 + (target % 3));
         return undefined;
@@ -332,34 +343,34 @@
     }
   }
 
-  /** Orders a zone to be evacuated; the result takes it back. */
+  /** Orders the evacuation of a zone; the result withdraws the order. */
   private evacuate(zone: string): () => void {
     const {store, ledger} = this;
     const key = `op/evacuate/${zone}`;
-    const count = (this.orders.get(zone) ?? 0) + 1;
-    this.orders.set(zone, count);
+    const count = (this.evacuationCounts.get(zone) ?? 0) + 1;
+    this.evacuationCounts.set(zone, count);
     store.put(key, {});
     ledger.note({type: 'zoneEvacuated', atMs: systemClock.nowMs(), zone});
     return () => {
-      // A later order for the zone goes on.
-      if (this.orders.get(zone) !== count) return;
+      // A later order for the zone stays active.
+      if (this.evacuationCounts.get(zone) !== count) return;
       ledger.note({type: 'zoneTakenBack', atMs: systemClock.nowMs(), zone});
       store.remove(key);
     };
   }
 
-  /** All endpoints reject a share of what arrives; the result ends it. */
-  private shed(share: number): () => void {
-    for (const place of this.places) place.shedShare = share;
+  /** Makes all endpoints reject a share of their requests; the result ends it. */
+  private startShedding(share: number): () => void {
+    for (const host of this.endpointHosts) host.shedShare = share;
     return () => {
-      for (const place of this.places) place.shedShare = 0;
+      for (const host of this.endpointHosts) host.shedShare = 0;
     };
   }
 
-  private storeIn(mode: StoreMode): () => void {
+  private setStoreMode(mode: StoreMode): () => void {
     this.store.mode = mode;
     return () => {
-      // A later fault of the store goes on.
+      // A later fault of the store stays active.
       if (this.store.mode === mode) this.store.mode = StoreMode.WELL;
     };
   }
@@ -369,12 +380,12 @@
   return values[target % values.length]!;
 }
 
-function broken(proxy: LoopbackProxy, fault: LinkFault): () => void {
+function startLinkFault(proxy: LoopbackProxy, fault: LinkFault): () => void {
   proxy.setFault(fault);
   return () => proxy.setFault(NO_FAULT);
 }
 
-function paused(program: Program): () => void {
+function pause(program: Program): () => void {
   program.signal('SIGSTOP');
   return () => program.signal('SIGCONT');
 }
--- a/packages-private/soak/src/soakLoad.ts
+++ b/packages-private/soak/src/soakLoad.ts
@@ -10,30 +10,30 @@
 
 const CALLERS_PER_ENTRY = 6;
 
-/** Pause of a caller between two requests. */
-const THINK_MS = 60;
+/** Time that a caller waits between two requests. */
+const THINK_TIME_MS = 60;
 
-/** A caller gives up after this time. */
-const PATIENCE_MS = 11_000;
+/** Time after which a caller aborts its request. */
+const CALLER_TIMEOUT_MS = 11_000;
 
-/** Most events of a draft; an engine makes one in 5 ms. */
-const MOST_EVENTS = 400;
+/** Largest number of events of a draft; an engine makes one in 5 ms. */
+const MAX_EVENTS = 400;
 
-/** A caller that leaves stays for up to this time; its draft takes four times as long. */
-const LONGEST_STAY_MS = 500;
+/** Longest time until a leaving caller disconnects; its draft takes four times as long. */
+const MAX_STAY_MS = 500;
 
-/** Pause before a request that ends engines comes again. */
-const DEADLY_INTERVAL_MS = 200;
+/** Time between two requests that crash their engines. */
+const CRASHING_REQUEST_INTERVAL_MS = 200;
 
-/** How often each entry is asked which configuration it has. */
+/** Interval at which each entry is probed for its configuration version. */
 const PROBE_INTERVAL_MS = 250;
 
-/** Callers that ask one thing after another, and what they saw. */
+/** Simulated callers, each of which sends one request after another. */
 export class SoakLoad {
-  /** Versions that went back at an entry within one life of its process. */
-  readonly regressions: string[] = [];
-  private isOver = false;
-  private isDeadlyOver = false;
+  /** Violations: entries whose configuration version went back within one incarnation. */
+  readonly versionRegressions: string[] = [];
+  private isStopped = false;
+  private areCrashingRequestsStopped = false;
   private nextId = 0;
   private readonly tasks: Array<Promise<void>> = [];
 
@@ -41,44 +41,44 @@
     private readonly fleet: SoakFleet,
     private readonly ledger: Ledger,
     private readonly random: Random,
-    /** Distinguishes the ids of this run. */
+    /** Distinguishes the request ids of this run. */
     private readonly prefix: string,
-    private readonly hasDeadlyRequests = false,
-    /** Draws when callers leave; none leaves where it is missing. */
+    private readonly hasCrashingRequests = false,
+    /** Draws when the leaving caller disconnects; without it there is no such caller. */
     private readonly leaveRandom?: Random,
   ) {}
 
   start(): void {
     const {entries} = this.fleet;
     for (let index = 0; index < entries.length * CALLERS_PER_ENTRY; index++) {
-      this.tasks.push(this.callerTask());
+      this.tasks.push(this.runCaller());
     }
-    for (const entry of entries) this.tasks.push(this.probeTask(entry));
-    if (this.hasDeadlyRequests) this.tasks.push(this.deadlyTask());
+    for (const entry of entries) this.tasks.push(this.runVersionProbe(entry));
+    if (this.hasCrashingRequests) this.tasks.push(this.runCrashingCaller());
     if (this.leaveRandom !== undefined) {
-      this.tasks.push(this.leavingTask(this.leaveRandom));
+      this.tasks.push(this.runLeavingCaller(this.leaveRandom));
     }
   }
 
-  /** From now on no engine ends by a request: whatever is cut is cut by something else. */
-  stopDeadlyRequests(): void {
-    this.isDeadlyOver = true;
+  /** Stops requests that crash engines, so that they can't explain a later cut answer. */
+  stopCrashingRequests(): void {
+    this.areCrashingRequestsStopped = true;
   }
 
   async stop(): Promise<void> {
-    this.stopDeadlyRequests();
-    this.isOver = true;
+    this.stopCrashingRequests();
+    this.isStopped = true;
     await Promise.all(this.tasks);
   }
 
-  /** Keeps its connections until they end, whatever the entry is doing. */
-  private async callerTask(): Promise<void> {
+  /** Sends to one entry over a kept connection until a request fails, then picks an entry again. */
+  private async runCaller(): Promise<void> {
     const agent = new Agent({keepAlive: true, maxSockets: 1});
-    let entry = this.anyEntry();
-    while (!this.isOver) {
-      const isSettled = await this.askOnce(entry, agent);
-      if (!isSettled) entry = this.anyEntry();
-      await sleep(systemClock, THINK_MS);
+    let entry = this.drawEntry();
+    while (!this.isStopped) {
+      const isServed = await this.sendAndRecord(entry, agent);
+      if (!isServed) entry = this.drawEntry();
+      await sleep(systemClock, THINK_TIME_MS);
     }
     agent.destroy();
   }
@@ -89,13 +89,16 @@
     this.ledger.note({type: 'sent', atMs, requestId, kind, entry});
   }
 
-  private anyEntry(): SoakEntry {
+  private drawEntry(): SoakEntry {
     const {entries} = this.fleet;
     return entries[Math.floor(this.random() * entries.length)]!;
   }
 
-  /** False when the caller should go elsewhere. */
-  private async askOnce(entry: SoakEntry, agent: Agent): Promise<boolean> {
+  /** Sends one request and records it; false when the caller should pick an entry again. */
+  private async sendAndRecord(
+    entry: SoakEntry,
+    agent: Agent,
+  ): Promise<boolean> {
     const drawn = this.random();
     const id = `${this.prefix}-${this.nextId++}`;
     const kind =
@@ -104,7 +107,7 @@
         : drawn < 0.75
           ? AskKind.BOOKING
           : AskKind.LOOKUP;
-    const events = 1 + Math.floor(this.random() ** 2 * MOST_EVENTS);
+    const events = 1 + Math.floor(this.random() ** 2 * MAX_EVENTS);
     const sentAtMs = systemClock.nowMs();
     this.noteSent(id, kind, entry);
     const answer = await this.send(entry, agent, id, kind, events);
@@ -131,7 +134,7 @@
     kind: AskKind,
     events: number,
   ): Promise<ClientAnswer> {
-    const signal = AbortSignal.timeout(PATIENCE_MS);
+    const signal = AbortSignal.timeout(CALLER_TIMEOUT_MS);
     const common = {id, agent, signal};
     switch (kind) {
       case AskKind.DRAFT:
@@ -147,69 +150,69 @@
     }
   }
 
-  /** Asks for what ends engines, again and again, at whichever entry. */
-  private async deadlyTask(): Promise<void> {
-    while (!this.isDeadlyOver) {
+  /** Repeatedly sends a request that crashes its engine, each time to a random entry. */
+  private async runCrashingCaller(): Promise<void> {
+    while (!this.areCrashingRequestsStopped) {
       const id = `${this.prefix}-deadly-${this.nextId++}`;
-      const entry = this.anyEntry();
+      const entry = this.drawEntry();
       this.noteSent(id, AskKind.DRAFT, entry);
       await ask(entry.url, '/draft/', {
         id,
         body: DEADLY_BODY,
         headers: draftHeaders(1),
-        signal: AbortSignal.timeout(PATIENCE_MS),
+        signal: AbortSignal.timeout(CALLER_TIMEOUT_MS),
       });
-      await sleep(systemClock, DEADLY_INTERVAL_MS);
+      await sleep(systemClock, CRASHING_REQUEST_INTERVAL_MS);
     }
   }
 
-  /** Asks for drafts, and leaves before they can be whole. */
-  private async leavingTask(random: Random): Promise<void> {
-    while (!this.isOver) {
+  /** Repeatedly requests drafts and disconnects before they can be complete. */
+  private async runLeavingCaller(random: Random): Promise<void> {
+    while (!this.isStopped) {
       const id = `${this.prefix}-leaver-${this.nextId++}`;
-      const staysMs = Math.round(random() * LONGEST_STAY_MS);
+      const leavesAfterMs = Math.round(random() * MAX_STAY_MS);
       const {entries} = this.fleet;
       const entry = entries[Math.floor(random() * entries.length)]!;
       this.noteSent(id, AskKind.DRAFT, entry);
       const answer = await ask(entry.url, '/draft/', {
         id,
         body: 'prompt',
-        headers: draftHeaders(MOST_EVENTS),
-        signal: AbortSignal.timeout(staysMs),
+        headers: draftHeaders(MAX_EVENTS),
+        signal: AbortSignal.timeout(leavesAfterMs),
       });
       if (!answer.isComplete) {
         const atMs = systemClock.nowMs();
         this.ledger.note({type: 'callerLeft', atMs, requestId: id});
       }
-      await sleep(systemClock, THINK_MS);
+      await sleep(systemClock, THINK_TIME_MS);
     }
   }
 
-  /** Within one life of a process the version in force only rises. */
-  private async probeTask(entry: SoakEntry): Promise<void> {
-    let life = 0;
-    let highest = 0;
-    while (!this.isOver) {
+  /** Checks that the active version never goes back within one incarnation of the entry. */
+  private async runVersionProbe(entry: SoakEntry): Promise<void> {
+    let probedIncarnation = 0;
+    let highestVersion = 0;
+    while (!this.isStopped) {
       const {incarnation, node} = entry.program;
-      if (incarnation !== life) {
-        life = incarnation;
-        highest = 0;
+      if (incarnation !== probedIncarnation) {
+        probedIncarnation = incarnation;
+        highestVersion = 0;
       }
-      for (const version of [this.fleet.version, highest - 1]) {
+      for (const version of [this.fleet.version, highestVersion - 1]) {
         if (version < 1 || !(await this.serves(entry, version))) continue;
-        if (entry.program.incarnation !== life) continue;
-        if (version < highest) {
-          this.regressions.push(
-            `${node.name} serves version ${version} after ${highest}`,
+        if (entry.program.incarnation !== probedIncarnation) continue;
+        if (version < highestVersion) {
+          this.versionRegressions.push(
+            `${node.name} serves version ${version} after ${highestVersion}`,
           );
         }
-        highest = Math.max(highest, version);
+        highestVersion = Math.max(highestVersion, version);
       }
       await sleep(systemClock, PROBE_INTERVAL_MS);
     }
   }
 
-  /** Whether an entry serves what only this version allows. */
+  /** True when an entry serves a path that only this configuration version has. */
   async serves(entry: SoakEntry, version: number): Promise<boolean> {
     const id = `${this.prefix}-probe-${this.nextId++}`;
     this.noteSent(id, AskKind.LOOKUP, entry);
--- a/packages-private/soak/src/zoneFaults.ts
+++ b/packages-private/soak/src/zoneFaults.ts
@@ -1,23 +1,23 @@
 import {createRandom} from '@lilacledge/shared';
 import type {PlannedFault} from './faultPlan.js';
 
-/** An operator evacuates a zone, and takes it back after the fault's time. */
+/** An operator evacuates a zone, and withdraws the order when the fault ends. */
 export interface ZoneFault {
   readonly kind: 'zoneEvacuated';
 }
 
-/** Longest time in which an evacuated zone may still get work (stated). */
+/** Longest time in which an evacuated zone may still get work. */
 export const EVACUATE_MS = 2_500;
 
-/** Mean pause between two of these, and how long they last. */
+/** Mean time between two evacuations, and the bounds of their duration. */
 const MEAN_GAP_MS = 1_800;
-const SHORTEST_MS = 200;
-const LONGEST_MS = 6_000;
+const MIN_DURATION_MS = 200;
+const MAX_DURATION_MS = 6_000;
 
-/** Apart from other faults, so that a seed's own faults stay what they were. */
+/** Gives these faults a seed of their own, so that a seed's other faults stay the same. */
 const SEED_OFFSET = 2_000_003;
 
-/** Zones that are evacuated in one run, some of them at once or again at once. */
+/** Plans evacuations of zones; they may overlap, also for the same zone. */
 export function planZoneFaults(
   seed: number,
   durationMs: number,
@@ -29,7 +29,9 @@
     faults.push({
       what: {kind: 'zoneEvacuated'},
       atMs: Math.round(atMs),
-      forMs: Math.round(SHORTEST_MS + random() * (LONGEST_MS - SHORTEST_MS)),
+      forMs: Math.round(
+        MIN_DURATION_MS + random() * (MAX_DURATION_MS - MIN_DURATION_MS),
+      ),
       target: Math.floor(random() * 1_000),
     });
   }
