--- a/packages-private/rig/src/__tests__/configuration.test.ts
+++ b/packages-private/rig/src/__tests__/configuration.test.ts
@@ -5,8 +5,8 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import {Rig, rigConfig} from '../index.js';
 
-/** A change must be in force everywhere within this time. */
-const IN_FORCE_LIMIT_MS = 6_000;
+/** A change must be active at every process within this time. */
+const MAX_PROPAGATION_MS = 6_000;
 
 async function createFleet(entries: number): Promise<Rig> {
   const rig = new Rig({seed: 3, linksPerService: 3});
@@ -32,29 +32,29 @@
     rig = await createFleet(8);
   });
 
-  /** Applies through the store with `base` as the revision read before. */
+  /** Applies a change that its author based on revision `readRevision`. */
   async function apply(
     writeId: string,
     config: unknown,
-    base: number,
-    known = base,
+    readRevision: number,
+    newestRevision = readRevision,
   ): Promise<ApplyResult> {
     const store = createConfigStore(rig.platform.store, rig.clock);
     const pending = store.apply(
       {
         writeId,
         author: writeId,
-        baseRevision: base,
+        baseRevision: readRevision,
         config: fleetConfigSchema.parse(config),
       },
-      known,
+      newestRevision,
     );
     await rig.clock.advance(500);
     return pending;
   }
 
-  /** Revisions in force at each process. */
-  function revisions(): Set<number> {
+  /** Distinct revisions that are active at the processes. */
+  function activeRevisions(): Set<number> {
     const entries = [...rig.entries.values()].map(
       ({entry}) => entry.config.revision,
     );
@@ -64,26 +64,26 @@
     return new Set([...entries, ...sidecars]);
   }
 
-  async function untilInForce(revision: number): Promise<number> {
+  async function advanceUntilActive(revision: number): Promise<number> {
     const startMs = rig.clock.nowMs();
     await rig.clock.advanceUntil(
-      () => [...revisions()].join() === String(revision),
+      () => [...activeRevisions()].join() === String(revision),
       120_000,
     );
     return rig.clock.nowMs() - startMs;
   }
 
-  it('is in force at every process within seconds of a change', async () => {
+  it('is active at every process within seconds of a change', async () => {
     const result = await apply('a', withOrganisations('clark-yard'), 1);
     expect(result).toEqual({outcome: 'applied', revision: 2});
-    expect(await untilInForce(2)).toBeLessThan(IN_FORCE_LIMIT_MS);
+    expect(await advanceUntilActive(2)).toBeLessThan(MAX_PROPAGATION_MS);
   });
 
-  it('is watched by a few processes only', () => {
+  it('is watched in the store by two entries only', () => {
     expect(rig.platform.model.counters.waitingWatches).toBe(2);
   });
 
-  it('reaches the others when the watchers die', async () => {
+  it('reaches the other processes when the watching entries are killed', async () => {
     const watchers = [...rig.entries.values()].filter(({entry}) =>
       isWatcher(entry.settings.instanceId),
     );
@@ -92,11 +92,11 @@
       rig.setMember(instanceId, undefined);
     }
     await apply('a', withOrganisations('clark-yard'), 1);
-    expect(await untilInForce(2)).toBeLessThan(IN_FORCE_LIMIT_MS);
+    expect(await advanceUntilActive(2)).toBeLessThan(MAX_PROPAGATION_MS);
   });
 
-  describe('operators race', () => {
-    it('one wins, the other hears what was changed', async () => {
+  describe('two operators apply changes at once', () => {
+    it('one is applied, the other gets a conflict with the changed parts', async () => {
       const [first, second] = await Promise.all([
         apply('a', withOrganisations('clark-yard', 'calamba-yard', 'a'), 1),
         apply('b', withOrganisations('clark-yard', 'calamba-yard', 'b'), 1),
@@ -116,7 +116,7 @@
   });
 
   describe('the answer to a write is lost', () => {
-    it('and the store can be read: the operator hears that it was applied', async () => {
+    it('and the store can be read: the result is applied', async () => {
       const store = createConfigStore(rig.platform.store, rig.clock);
       const change = {
         writeId: 'a',
@@ -124,14 +124,14 @@
         baseRevision: 1,
         config: fleetConfigSchema.parse(withOrganisations('clark-yard')),
       };
-      loseAnswerOfSwap();
+      loseSwapAnswer();
       const pending = store.apply(change, 1);
       await rig.clock.advance(500);
       expect(await pending).toEqual({outcome: 'applied', revision: 2});
     });
 
-    it('and the store is down: unknown, and asking again is idempotent', async () => {
-      loseAnswerOfSwap(() => {
+    it('and the store is down: the result is unknown, and a retry is idempotent', async () => {
+      loseSwapAnswer(() => {
         rig.platform.faults.isDown = true;
       });
       const config = withOrganisations('clark-yard');
@@ -147,52 +147,52 @@
     });
   });
 
-  describe('the store is out for an hour', () => {
+  describe('the store is unavailable for an hour', () => {
     beforeEach(async () => {
       rig.platform.faults.isDown = true;
       await rig.settle(3_600_000);
     });
 
-    it('what was in force goes on, and changes are refused as not applied', async () => {
-      expect([...revisions()]).toEqual([1]);
+    it('the active configuration stays, and changes are refused as notApplied', async () => {
+      expect([...activeRevisions()]).toEqual([1]);
       const result = await apply('a', withOrganisations('clark-yard'), 1);
       expect(result.outcome).toBe('notApplied');
     });
 
-    it('a new entry and a new sidecar learn it from their peers', async () => {
+    it('a new entry and a new sidecar receive the configuration from their peers', async () => {
       rig.addEntry('entry-new', 'clark');
       rig.addEngine('engine-new', 'drafting-llm', 'clark');
       await rig.settle(10_000);
-      expect([...revisions()]).toEqual([1]);
+      expect([...activeRevisions()]).toEqual([1]);
     });
 
-    it('a change after it is in force at once, with few calls', async () => {
+    it('a change afterwards becomes active soon, with few store calls', async () => {
       rig.platform.faults.isDown = false;
       const {counters} = rig.platform.model;
       const before = counters.reads + counters.watches;
       await apply('a', withOrganisations('clark-yard'), 1);
-      expect(await untilInForce(2)).toBeLessThan(20_000);
+      expect(await advanceUntilActive(2)).toBeLessThan(20_000);
       expect(counters.reads + counters.watches - before).toBeLessThan(40);
     });
   });
 
-  describe('the store comes back older', () => {
+  describe('the store returns with an older state', () => {
     beforeEach(async () => {
       rig.platform.model.save();
       await apply('a', withOrganisations('clark-yard'), 1);
-      await untilInForce(2);
+      await advanceUntilActive(2);
       rig.platform.model.restore();
       await rig.settle(60_000);
     });
 
-    it('no process goes back, also one that joins', async () => {
-      expect([...revisions()]).toEqual([2]);
+    it('no process reverts to the older revision, nor does one that joins', async () => {
+      expect([...activeRevisions()]).toEqual([2]);
       rig.addEntry('entry-new', 'clark');
       await rig.settle(60_000);
-      expect([...revisions()]).toEqual([2]);
+      expect([...activeRevisions()]).toEqual([2]);
     });
 
-    it('a change is refused until an operator has restored it', async () => {
+    it('a change is refused until an operator has restored the configuration', async () => {
       const config = withOrganisations('calamba-yard');
       expect(await apply('b', config, 1, 2)).toEqual({
         outcome: 'storeBehind',
@@ -203,17 +203,17 @@
       const pending = store.restore(state, 'restore', 'operator');
       await rig.clock.advance(500);
       expect(await pending).toEqual({outcome: 'applied', revision: 3});
-      await untilInForce(3);
+      await advanceUntilActive(3);
       const {entry} = rig.entries.get('entry-1')!;
       expect(entry.config.current!.config.organisations).toHaveLength(1);
       expect((await apply('b', config, 3)).outcome).toBe('applied');
     });
 
-    it('the operators are told', () => {
-      const told = [...rig.entries.values()].filter(
+    it('entries report that the store is behind', () => {
+      const reportingEntries = [...rig.entries.values()].filter(
         ({entry}) => entry.config.storeBehindBy > 0,
       );
-      expect(told.length).toBeGreaterThan(0);
+      expect(reportingEntries.length).toBeGreaterThan(0);
     });
   });
 
@@ -222,8 +222,11 @@
     return order.slice(0, 2).includes(instanceId);
   }
 
-  /** Loses the answer of the next compare-and-swap; parts pass before it. */
-  function loseAnswerOfSwap(then: () => void = () => {}): void {
+  /**
+   * Loses the answer of the next compare-and-swap. The writes of parts before
+   * it get their answers.
+   */
+  function loseSwapAnswer(then: () => void = () => {}): void {
     const {store} = rig.platform;
     const swap = store.compareAndSwap.bind(store);
     store.compareAndSwap = async (conditions, writes) => {
--- a/packages-private/rig/src/__tests__/faultSequences.test.ts
+++ b/packages-private/rig/src/__tests__/faultSequences.test.ts
@@ -3,31 +3,34 @@
 import {checkRun, FaultSequence, Rig, rigConfig} from '../index.js';
 import type {FaultStep} from '../index.js';
 
-/** Fixed, so that a run has the same verdict every time; printed on failure. */
+/** Fixed, so that every run has the same result; printed on failure. */
 const SEEDS = [20_261_202, 7, 99];
 const RUNS_PER_SEED = 40;
 
-const index = fc.nat({max: 11});
+const arbitraryIndex = fc.nat({max: 11});
 
-const step: fc.Arbitrary<FaultStep> = fc.oneof(
+const arbitraryStep: fc.Arbitrary<FaultStep> = fc.oneof(
   {
     weight: 6,
     arbitrary: fc.record({
-      kind: fc.constant('ask' as const),
-      who: index,
+      kind: fc.constant('generate' as const),
+      entryIndex: arbitraryIndex,
       tokens: fc.integer({min: 1, max: 400}),
     }),
   },
   {
     weight: 5,
-    arbitrary: fc.record({kind: fc.constant('call' as const), who: index}),
+    arbitrary: fc.record({
+      kind: fc.constant('call' as const),
+      entryIndex: arbitraryIndex,
+    }),
   },
   {
     weight: 4,
     arbitrary: fc.record({
-      kind: fc.constant('callAgain' as const),
-      who: index,
-      which: index,
+      kind: fc.constant('retryCall' as const),
+      entryIndex: arbitraryIndex,
+      callIndex: arbitraryIndex,
     }),
   },
   {
@@ -51,28 +54,31 @@
         'stall' as const,
         'heal' as const,
         'endLinks' as const,
-        'engineDies' as const,
-        'answersLost' as const,
-        'listLoses' as const,
+        'crashEngine' as const,
+        'toggleLostAnswers' as const,
+        'removeMember' as const,
       ),
-      which: index,
+      sidecarIndex: arbitraryIndex,
     }),
   },
   {
     weight: 1,
-    arbitrary: fc.record({kind: fc.constant('killEntry' as const), who: index}),
+    arbitrary: fc.record({
+      kind: fc.constant('killEntry' as const),
+      entryIndex: arbitraryIndex,
+    }),
   },
   {
     weight: 2,
     arbitrary: fc.record({
-      kind: fc.constant('storeDown' as const),
+      kind: fc.constant('setStoreDown' as const),
       isDown: fc.boolean(),
     }),
   },
   {
     weight: 1,
     arbitrary: fc.record({
-      kind: fc.constant('storeLosesAnswers' as const),
+      kind: fc.constant('loseStoreAnswers' as const),
       count: fc.integer({min: 1, max: 30}),
     }),
   },
@@ -80,9 +86,9 @@
     weight: 2,
     arbitrary: fc.record({
       kind: fc.constantFrom(
-        'storeSave' as const,
-        'storeRestore' as const,
-        'leasesLapse' as const,
+        'saveStore' as const,
+        'restoreStore' as const,
+        'expireLeases' as const,
       ),
     }),
   },
@@ -90,12 +96,13 @@
 
 async function createFleet(): Promise<Rig> {
   const rig = new Rig({seed: 17});
-  const extra = {slotGrantMs: 60_000, slotRoundMs: 1_000};
+  const slotSettings = {slotGrantMs: 60_000, slotRoundMs: 1_000};
   for (const id of ['engine-1', 'engine-2', 'engine-3']) {
     rig.addEngine(id, 'drafting-llm', 'calamba');
   }
   for (const id of ['home-1', 'home-2', 'home-3']) {
-    rig.addPlain(id, 'booking-api', 'calamba', extra).plain!.delayMs = 40;
+    rig.addPlain(id, 'booking-api', 'calamba', slotSettings).plain!.delayMs =
+      40;
   }
   rig.addEntry('entry-1', 'calamba');
   rig.addEntry('entry-2', 'clark');
@@ -105,10 +112,10 @@
 }
 
 describe('random sequences of faults', () => {
-  it.each(SEEDS)('break no promise (seed %i)', async (seed) => {
+  it.each(SEEDS)('violate no guarantee (seed %i)', async (seed) => {
     await fc.assert(
       fc.asyncProperty(
-        fc.array(step, {minLength: 5, maxLength: 40}),
+        fc.array(arbitraryStep, {minLength: 5, maxLength: 40}),
         async (steps) => {
           const rig = await createFleet();
           const sequence = new FaultSequence(rig);
--- a/packages-private/rig/src/__tests__/keyedCalls.test.ts
+++ b/packages-private/rig/src/__tests__/keyedCalls.test.ts
@@ -5,12 +5,12 @@
 import type {PlainCaller, RigSidecar} from '../index.js';
 
 const GRANT_MS = 60_000;
-const EXTRA = {slotGrantMs: GRANT_MS, slotRoundMs: 1_000};
-const HOMES = ['home-1', 'home-2', 'home-3'];
+const TIMING = {slotGrantMs: GRANT_MS, slotRoundMs: 1_000};
+const SIDECARS = ['home-1', 'home-2', 'home-3'];
 
 async function createFleet(): Promise<Rig> {
   const rig = new Rig({seed: 11});
-  for (const id of HOMES) rig.addPlain(id, 'booking-api', 'calamba', EXTRA);
+  for (const id of SIDECARS) rig.addPlain(id, 'booking-api', 'calamba', TIMING);
   rig.addEntry('entry-1', 'calamba');
   rig.addEntry('entry-2', 'clark');
   await rig.applyConfig(rigConfig());
@@ -34,7 +34,9 @@
     return rig.sidecars.get(owner!.member.instanceId)!;
   }
 
-  async function untilAnswered(...callers: PlainCaller[]): Promise<void> {
+  async function advanceUntilAnswered(
+    ...callers: PlainCaller[]
+  ): Promise<void> {
     await rig.clock.advanceUntil(() =>
       callers.every((caller) => caller.answers.length > 0),
     );
@@ -47,33 +49,33 @@
     return answer.failure;
   }
 
-  function runsOf(key: string): number {
+  function runCount(key: string): number {
     return [...rig.sidecars.values()]
       .flatMap((sidecar) => sidecar.plain?.runs ?? [])
       .filter((run) => run.body.includes(key)).length;
   }
 
-  it('spreads the slots over the homes', () => {
+  it('have their key slots spread evenly over the sidecars', () => {
     const peers = rig.entries.get('entry-1')!.entry.pool.all();
     expect(peers.map((peer) => peer.grants.length)).toEqual([8, 8, 8]);
   });
 
-  it('runs a key once when two entries send it at the same moment', async () => {
+  it('run once when two entries send the same key at the same moment', async () => {
     const key = rig.mintKey();
     const callers = [rig.call('entry-1', {key}), rig.call('entry-2', {key})];
-    await untilAnswered(...callers);
-    expect(runsOf(key)).toBe(1);
+    await advanceUntilAnswered(...callers);
+    expect(runCount(key)).toBe(1);
     expect(callers.map((caller) => caller.answers[0]!.kind)).toEqual([
       'answered',
       'answered',
     ]);
   });
 
-  it('refuses the same key with another body', async () => {
+  it('are refused when a key is reused with another body', async () => {
     const key = rig.mintKey();
-    await untilAnswered(rig.call('entry-1', {key}));
+    await advanceUntilAnswered(rig.call('entry-1', {key}));
     const other = rig.call('entry-2', {key, body: '{"drums":9}'});
-    await untilAnswered(other);
+    await advanceUntilAnswered(other);
     expect(failureOf(other)).toMatchObject({
       kind: 'keyReused',
       verdict: 'notRun',
@@ -81,18 +83,18 @@
   });
 
   describe('the caller’s clock', () => {
-    it('is far ahead: refused as not run', async () => {
+    it('is far ahead: the call is refused as notRun', async () => {
       const caller = rig.call('entry-1', {key: rig.mintKey(60_000)});
-      await untilAnswered(caller);
+      await advanceUntilAnswered(caller);
       expect(failureOf(caller)).toMatchObject({
         kind: 'keyFromFuture',
         verdict: 'notRun',
       });
     });
 
-    it('is far behind: refused, and whether it ran is left open', async () => {
+    it('is far behind: the call is refused as mayHaveRun', async () => {
       const caller = rig.call('entry-1', {key: rig.mintKey(-3_600_000)});
-      await untilAnswered(caller);
+      await advanceUntilAnswered(caller);
       expect(failureOf(caller)).toMatchObject({
         kind: 'keyUndecidable',
         verdict: 'mayHaveRun',
@@ -100,66 +102,66 @@
     });
   });
 
-  describe('the home dies', () => {
-    it('before the call: refused as not run, and a new key finds another', async () => {
+  describe('the sidecar that owns the key is killed', () => {
+    it('before the call: the call is refused as notRun', async () => {
       const key = rig.mintKey();
       rig.killSidecar(ownerOf(key).instanceId);
       await rig.clock.advance(100);
       const caller = rig.call('entry-1', {key});
-      await untilAnswered(caller);
+      await advanceUntilAnswered(caller);
       expect(failureOf(caller)).toMatchObject({
         kind: 'keyHomeUnavailable',
         verdict: 'notRun',
       });
     });
 
-    it('during the call: it may have run, and no other home runs it', async () => {
+    it('during the call: the verdict is mayHaveRun, and no other sidecar runs it', async () => {
       const key = rig.mintKey();
       const owner = ownerOf(key);
       owner.plain!.delayMs = 500;
       const caller = rig.call('entry-1', {key});
       await rig.clock.advance(100);
       rig.killSidecar(owner.instanceId);
-      await untilAnswered(caller);
+      await advanceUntilAnswered(caller);
       expect(failureOf(caller).verdict).toBe('mayHaveRun');
       await rig.settle(2 * GRANT_MS);
-      const again = rig.call('entry-2', {key});
-      await untilAnswered(again);
-      expect(failureOf(again).verdict).toBe('mayHaveRun');
-      expect(runsOf(key)).toBe(1);
+      const retry = rig.call('entry-2', {key});
+      await advanceUntilAnswered(retry);
+      expect(failureOf(retry).verdict).toBe('mayHaveRun');
+      expect(runCount(key)).toBe(1);
     });
 
-    it('after the call and comes back: the old key is not run again', async () => {
+    it('after the call and restarts: the call with the old key does not run a second time', async () => {
       const key = rig.mintKey();
       const owner = ownerOf(key);
-      await untilAnswered(rig.call('entry-1', {key}));
+      await advanceUntilAnswered(rig.call('entry-1', {key}));
       rig.killSidecar(owner.instanceId);
       rig.restartSidecar(owner.instanceId);
       await rig.settle(10_000);
-      const again = rig.call('entry-1', {key});
-      await untilAnswered(again);
-      expect(failureOf(again)).toMatchObject({
+      const retry = rig.call('entry-1', {key});
+      await advanceUntilAnswered(retry);
+      expect(failureOf(retry)).toMatchObject({
         kind: 'keyUndecidable',
         verdict: 'mayHaveRun',
       });
       const fresh = rig.call('entry-1');
-      await untilAnswered(fresh);
+      await advanceUntilAnswered(fresh);
       expect(fresh.answers[0]!.kind).toBe('answered');
     });
 
-    it('is replaced after its grant has ended: new keys run again', async () => {
+    it('and is replaced after its grant has ended: calls with new keys run', async () => {
       rig.killSidecar('home-1');
       rig.setMember('home-1', undefined);
       await rig.settle(GRANT_MS + 10_000);
       const callers = Array.from({length: 40}, () => rig.call('entry-1'));
-      await untilAnswered(...callers);
+      await advanceUntilAnswered(...callers);
       const kinds = new Set(callers.map((caller) => caller.answers[0]!.kind));
       expect([...kinds]).toEqual(['answered']);
     });
   });
 
-  describe('the home is paused', () => {
-    it('past its grant, and wakes with a call in hand', async () => {
+  describe('the sidecar that owns the key is paused', () => {
+    it('beyond its grant, and resumes with a pending call', async () => {
       const key = rig.mintKey();
       const owner = ownerOf(key);
       const first = rig.call('entry-1', {key});
@@ -168,34 +170,34 @@
       const second = rig.call('entry-2', {key});
       await rig.clock.advance(1_000);
       rig.unpause(owner.instanceId);
-      await untilAnswered(first, second);
-      expect(runsOf(key)).toBeLessThanOrEqual(1);
+      await advanceUntilAnswered(first, second);
+      expect(runCount(key)).toBeLessThanOrEqual(1);
     });
 
-    it('past its grant, and then gets a key minted in the new one', async () => {
-      const probe = rig.mintKey();
-      const owner = ownerOf(probe);
-      const slot = slotOfKey('clark-yard', probe);
+    it('beyond its grant, and then receives a key minted during the next grant', async () => {
+      const earlierKey = rig.mintKey();
+      const owner = ownerOf(earlierKey);
+      const slot = slotOfKey('clark-yard', earlierKey);
       rig.pause(owner.instanceId);
       await rig.settle(2 * GRANT_MS);
       rig.unpause(owner.instanceId);
-      // A stale entry may still send here: ask the old home itself.
-      const key = mintForSlot(slot);
-      const outcome = await askDirectly(owner, key);
+      // An entry with an outdated view may still send to the former owner.
+      const key = mintKeyForSlot(slot);
+      const outcome = await sendDirectly(owner, key);
       expect(outcome).toBe('failed');
     });
   });
 
   describe('the store', () => {
-    it('is out for longer than a grant: keys are refused, none runs twice', async () => {
+    it('is unavailable for longer than a grant: calls are refused as notRun until it returns', async () => {
       rig.platform.faults.isDown = true;
       await rig.settle(GRANT_MS / 2);
       const during = rig.call('entry-1');
-      await untilAnswered(during);
+      await advanceUntilAnswered(during);
       expect(during.answers[0]!.kind).toBe('answered');
       await rig.settle(GRANT_MS);
       const late = rig.call('entry-1');
-      await untilAnswered(late);
+      await advanceUntilAnswered(late);
       expect(failureOf(late)).toMatchObject({
         kind: 'keyHomeUnavailable',
         verdict: 'notRun',
@@ -203,100 +205,100 @@
       rig.platform.faults.isDown = false;
       await rig.settle(15_000);
       const after = rig.call('entry-1');
-      await untilAnswered(after);
+      await advanceUntilAnswered(after);
       expect(after.answers[0]!.kind).toBe('answered');
     });
 
-    it('comes back older: no slot gets a second owner', async () => {
+    it('returns with an older state: no slot gets a second owner', async () => {
       rig.platform.model.save();
       await rig.settle(3 * GRANT_MS);
       rig.platform.model.restore();
-      rig.addPlain('home-4', 'booking-api', 'clark', EXTRA);
-      await expectOneOwnerFor(30_000);
+      rig.addPlain('home-4', 'booking-api', 'clark', TIMING);
+      await expectDisjointGrantsFor(30_000);
     });
 
     it('loses the slot records: no slot gets a second owner', async () => {
       const {model} = rig.platform;
       Object.assign(model, {saved: new Map()});
       model.restore();
-      rig.addPlain('home-4', 'booking-api', 'clark', EXTRA);
-      await expectOneOwnerFor(30_000);
+      rig.addPlain('home-4', 'booking-api', 'clark', TIMING);
+      await expectDisjointGrantsFor(30_000);
     });
 
-    it('loses the answers of writes: slots stay owned once', async () => {
+    it('loses the answers of writes: no slot gets a second owner', async () => {
       rig.platform.faults.lostAnswers = 200;
-      rig.addPlain('home-4', 'booking-api', 'clark', EXTRA);
-      await expectOneOwnerFor(30_000);
+      rig.addPlain('home-4', 'booking-api', 'clark', TIMING);
+      await expectDisjointGrantsFor(30_000);
       const caller = rig.call('entry-1');
-      await untilAnswered(caller);
+      await advanceUntilAnswered(caller);
     });
   });
 
   describe('the plain service', () => {
-    it('cannot be reached: not run, and the key may be used again', async () => {
+    it('cannot be reached: the verdict is notRun, and the key may be used once more', async () => {
       const key = rig.mintKey();
       const owner = ownerOf(key);
       owner.plainFaults.isUnreachable = true;
       const first = rig.call('entry-1', {key});
-      await untilAnswered(first);
+      await advanceUntilAnswered(first);
       expect(failureOf(first).verdict).toBe('notRun');
       owner.plainFaults.isUnreachable = false;
       const second = rig.call('entry-1', {key});
-      await untilAnswered(second);
+      await advanceUntilAnswered(second);
       expect(second.answers[0]!.kind).toBe('answered');
     });
 
-    it('runs the call and loses the answer: never run again', async () => {
+    it('runs the call and its answer is lost: a retry does not run it', async () => {
       const key = rig.mintKey();
       const owner = ownerOf(key);
       owner.plainFaults.losesAnswers = true;
       const first = rig.call('entry-1', {key});
-      await untilAnswered(first);
+      await advanceUntilAnswered(first);
       owner.plainFaults.losesAnswers = false;
       const second = rig.call('entry-2', {key});
-      await untilAnswered(second);
+      await advanceUntilAnswered(second);
       expect(failureOf(second).verdict).toBe('mayHaveRun');
-      expect(runsOf(key)).toBe(1);
+      expect(runCount(key)).toBe(1);
     });
   });
 
-  it('asks the same incarnation again when the link is lost on the way', async () => {
+  it('are sent to the same incarnation once more when the link is lost during the call', async () => {
     const key = rig.mintKey();
     const owner = ownerOf(key);
     owner.plain!.delayMs = 500;
     const caller = rig.call('entry-1', {key});
     await rig.clock.advance(100);
     rig.network.endLinks(owner.address);
-    await untilAnswered(caller);
+    await advanceUntilAnswered(caller);
     expect(caller.answers[0]).toMatchObject({kind: 'answered', isReplay: true});
-    expect(runsOf(key)).toBe(1);
+    expect(runCount(key)).toBe(1);
   });
 
-  it('lets a draining home finish, and hands its slots over', async () => {
+  it('finish at a draining sidecar, whose slots then get new owners', async () => {
     const key = rig.mintKey();
     const owner = ownerOf(key);
     owner.plain!.delayMs = 500;
     const caller = rig.call('entry-1', {key});
     await rig.clock.advance(100);
     void owner.sidecar.shutdown();
-    await untilAnswered(caller);
+    await advanceUntilAnswered(caller);
     expect(caller.answers[0]!.kind).toBe('answered');
     await rig.settle(15_000);
     const callers = Array.from({length: 40}, () => rig.call('entry-1'));
-    await untilAnswered(...callers);
+    await advanceUntilAnswered(...callers);
     const kinds = new Set(callers.map((later) => later.answers[0]!.kind));
     expect([...kinds]).toEqual(['answered']);
   });
 
-  function mintForSlot(slot: number): string {
+  function mintKeyForSlot(slot: number): string {
     for (;;) {
       const key = rig.mintKey();
       if (slotOfKey('clark-yard', key) === slot) return key;
     }
   }
 
-  /** Sends a call past the entries' own view, as a stale entry would. */
-  async function askDirectly(owner: RigSidecar, key: string): Promise<string> {
+  /** Sends a call to `owner` regardless of grants, as with an outdated view. */
+  async function sendDirectly(owner: RigSidecar, key: string): Promise<string> {
     const peer = rig.entries.get('entry-1')!.entry.pool.find(owner.instanceId)!;
     await rig.clock.advanceUntil(() => peer.isOpen);
     const call = peer.openCall()!;
@@ -318,14 +320,14 @@
     return (value as {type: string}).type;
   }
 
-  async function expectOneOwnerFor(durationMs: number): Promise<void> {
+  async function expectDisjointGrantsFor(durationMs: number): Promise<void> {
     for (let ms = 0; ms < durationMs; ms += 100) {
       await rig.clock.advance(100);
       expectDisjointGrants();
     }
   }
 
-  /** No mint time of a slot is granted to two live homes. */
+  /** No two live sidecars hold grants for the same slot and mint time. */
   function expectDisjointGrants(): void {
     const grants = [...rig.sidecars.values()].flatMap(({sidecar}) =>
       sidecar.grants(),
--- a/packages-private/rig/src/__tests__/retries.test.ts
+++ b/packages-private/rig/src/__tests__/retries.test.ts
@@ -4,11 +4,11 @@
 const ENGINES = ['engine-1', 'engine-2', 'engine-3', 'engine-4'];
 const REQUESTS = 600;
 
-/** A failing endpoint may be hit by this many times the offered load. */
-const AMPLIFICATION_LIMIT = 1.2;
+/** Upper bound of attempts at failing engines per request of a caller. */
+const MAX_AMPLIFICATION = 1.2;
 
 describe('retries', () => {
-  it('stay within their budget when every engine fails', async () => {
+  it('stay within their budget when all engines fail', async () => {
     const rig = new Rig({seed: 2});
     for (const id of ENGINES) rig.addEngine(id, 'drafting-llm', 'calamba');
     rig.addEntry('entry-1', 'calamba');
@@ -26,15 +26,15 @@
     );
     const attempts = engines.reduce((sum, engine) => sum + engine.attempts, 0);
     expect(attempts).toBeGreaterThan(REQUESTS);
-    expect(attempts / REQUESTS).toBeLessThan(AMPLIFICATION_LIMIT);
+    expect(attempts / REQUESTS).toBeLessThan(MAX_AMPLIFICATION);
     expect(checkRun(rig)).toEqual([]);
-    const waits = rig.callers.map(
+    const retryDelaysMs = rig.callers.map(
       ({end}) => end.kind === 'failed' && end.failure.retryAfterMs,
     );
-    expect(waits.every((wait) => Number(wait) > 0)).toBe(true);
+    expect(retryDelaysMs.every((delayMs) => Number(delayMs) > 0)).toBe(true);
   });
 
-  it('answer at once what cannot be served in time', async () => {
+  it('do not delay the refusal of a request that cannot start within its maximum wait', async () => {
     const rig = new Rig({seed: 2});
     rig.addEngine('engine-1', 'drafting-llm', 'calamba', {memoryTokens: 2_000});
     rig.addEntry('entry-1', 'calamba');
@@ -44,10 +44,10 @@
       rig.ask('entry-1', {outputTokens: 400});
       await rig.clock.advance(100);
     }
-    const askedMs = rig.clock.nowMs();
+    const sentMs = rig.clock.nowMs();
     const late = rig.ask('entry-1', {outputTokens: 5, maxQueueMs: 1});
     await rig.clock.advanceUntil(() => late.end.kind !== 'open');
-    expect(late.endedMs - askedMs).toBeLessThan(50);
+    expect(late.endedMs - sentMs).toBeLessThan(50);
     expect(late.end).toMatchObject({
       failure: {kind: 'overloaded', verdict: 'notRun'},
     });
--- a/packages-private/rig/src/askOptions.ts
+++ b/packages-private/rig/src/askOptions.ts
@@ -1,5 +1,5 @@
-/** What a caller asks a rig for; the rest has defaults. */
-export interface AskOptions {
+/** Options of a requested generation; those left out have defaults. */
+export interface GenerateOptions {
   readonly organisation?: string;
   readonly outputTokens?: number;
   readonly promptTokens?: number;
--- a/packages-private/rig/src/caller.ts
+++ b/packages-private/rig/src/caller.ts
@@ -1,16 +1,16 @@
 import type {Failure} from '@lilacledge/shared';
 import type {StreamEvent} from '@lilacledge/entry';
-import type {AskOptions} from './askOptions.js';
+import type {GenerateOptions} from './askOptions.js';
 
-/** How a caller's request ended, if it has. */
-export type CallerEnd =
+/** State of a caller's request: open, or how it ended. */
+export type CallerState =
   | {readonly kind: 'open'}
   | {readonly kind: 'complete'}
   | {readonly kind: 'failed'; readonly failure: Failure}
   /** The caller's connection was lost with its entry. */
   | {readonly kind: 'cut'};
 
-/** One caller's request on a rig, with all that the caller got. */
+/** One generation request on a rig, with all that its caller received. */
 export interface Caller {
   readonly requestId: string;
   readonly organisation: string;
@@ -18,18 +18,18 @@
   readonly expectedTokens: number;
   readonly arrivedMs: number;
   readonly texts: string[];
-  /** Times at which tokens came. */
+  /** Time at which each token was received. */
   readonly tokenMs: number[];
-  /** Ends seen so far; more than one is a fault. */
+  /** Number of final events received; more than one is a fault. */
   ends: number;
-  end: CallerEnd;
+  end: CallerState;
   endedMs: number;
   streamTag: string;
-  leave(): void;
+  disconnect(): void;
 }
 
-/** Takes one event of a stream on behalf of its caller. */
-export function takeEvent(
+/** Records an event of a stream at its caller. */
+export function recordEvent(
   caller: Caller,
   event: StreamEvent,
   nowMs: number,
@@ -52,8 +52,8 @@
   }
 }
 
-/** A caller that has got nothing yet. */
-export function newCaller(
+/** Creates the caller of a request that has no events yet. */
+export function createCaller(
   request: Pick<
     Caller,
     | 'requestId'
@@ -61,7 +61,7 @@
     | 'prompt'
     | 'expectedTokens'
     | 'arrivedMs'
-    | 'leave'
+    | 'disconnect'
   >,
 ): Caller {
   return {
@@ -75,14 +75,17 @@
   };
 }
 
-/** A prompt that names its caller, and to the engine stand-in its length. */
-export function toPrompt(
+/**
+ * Builds a prompt that carries the request id for `checkRun` and the output
+ * length for the engine stand-in.
+ */
+export function buildPrompt(
   requestId: string,
   outputTokens: number,
-  options: AskOptions,
+  options: GenerateOptions,
 ): string {
-  const mark = `[[caller=${requestId}]] [[output=${outputTokens}]]`;
+  const marker = `[[caller=${requestId}]] [[output=${outputTokens}]]`;
   const prefix = options.prefix ?? '';
   const chars = (options.promptTokens ?? 16) * 4;
-  return prefix + mark.padEnd(Math.max(0, chars - prefix.length), '.');
+  return prefix + marker.padEnd(Math.max(0, chars - prefix.length), '.');
 }
--- a/packages-private/rig/src/checkRun.ts
+++ b/packages-private/rig/src/checkRun.ts
@@ -3,70 +3,75 @@
 import type {Rig} from './rig.js';
 import type {PlainCaller} from './rigTypes.js';
 
-/** One broken promise. */
+/** A guarantee that did not hold for a request. */
 export interface Violation {
-  readonly promise: string;
+  readonly guarantee: string;
   readonly requestId: string;
   readonly detail: string;
 }
 
 /**
- * Judges a run from outside the product: compares what each caller got with
- * what each engine and service says that it did.
+ * Verifies the guarantees of a run from outside the product: compares what each
+ * caller received with what the engine and service models recorded.
  */
 export function checkRun(rig: Rig): Violation[] {
   const prompts = promptsByGeneration(rig);
-  const started = new Set(
-    [...prompts.values()].map((prompt) => callerOf(prompt)),
+  const startedRequests = new Set(
+    [...prompts.values()].map((prompt) => requestIdOf(prompt)),
   );
   return [
-    ...rig.callers.flatMap((caller) => checkCaller(caller, prompts, started)),
-    ...checkKeys(rig),
-    ...rig.plainCallers.flatMap((caller) => checkPlain(rig, caller)),
+    ...rig.callers.flatMap((caller) =>
+      checkCaller(caller, prompts, startedRequests),
+    ),
+    ...checkAtMostOnce(rig),
+    ...rig.plainCallers.flatMap((caller) => checkPlainCaller(rig, caller)),
   ];
 }
 
 function checkCaller(
   caller: Caller,
   prompts: ReadonlyMap<string, string>,
-  started: ReadonlySet<string>,
+  startedRequests: ReadonlySet<string>,
 ): Violation[] {
-  const found: Violation[] = [];
-  const add = (promise: string, detail: string): void => {
-    found.push({promise, requestId: caller.requestId, detail});
+  const violations: Violation[] = [];
+  const report = (guarantee: string, detail: string): void => {
+    violations.push({guarantee, requestId: caller.requestId, detail});
   };
   const tokens = caller.texts.map(parseToken);
   const generations = new Set(tokens.map((token) => token.generation));
   if (generations.size > 1) {
-    add('one generation', [...generations].join(', '));
+    report('one generation', [...generations].join(', '));
   }
   const misplaced = tokens.findIndex((token, index) => token.index !== index);
   if (misplaced >= 0) {
-    add('each token once, in order', `token ${misplaced} is wrong`);
+    report('each token once, in order', `token ${misplaced} is out of order`);
   }
   for (const generation of generations) {
-    if (callerOf(prompts.get(generation) ?? '') !== caller.requestId) {
-      add('right caller', `got tokens of ${generation}`);
+    if (requestIdOf(prompts.get(generation) ?? '') !== caller.requestId) {
+      report('tokens of its own request', `received tokens of ${generation}`);
     }
   }
   if (
     caller.end.kind === 'complete' &&
     caller.texts.length !== caller.expectedTokens
   ) {
-    add('whole answer', `${caller.texts.length} of ${caller.expectedTokens}`);
+    report(
+      'complete output',
+      `${caller.texts.length} of ${caller.expectedTokens} tokens`,
+    );
   }
-  if (caller.ends > 1) add('one final answer', `${caller.ends} ends`);
+  if (caller.ends > 1) report('one final answer', `${caller.ends} times`);
   if (
     caller.end.kind === 'failed' &&
     caller.end.failure.verdict === Verdict.NOT_RUN &&
-    started.has(caller.requestId)
+    startedRequests.has(caller.requestId)
   ) {
-    add('not run is true', caller.end.failure.kind);
+    report('verdict notRun is correct', caller.end.failure.kind);
   }
-  return found;
+  return violations;
 }
 
-function checkKeys(rig: Rig): Violation[] {
+function checkAtMostOnce(rig: Rig): Violation[] {
   const runs = allRuns(rig);
   const counts = new Map<string, number>();
   for (const run of runs) {
@@ -76,23 +81,23 @@
   return [...counts]
     .filter(([, count]) => count > 1)
     .map(([body, count]) => ({
-      promise: 'at most once',
+      guarantee: 'at most once',
       requestId: body,
       detail: `${count} runs`,
     }));
 }
 
-function checkPlain(rig: Rig, caller: PlainCaller): Violation[] {
+function checkPlainCaller(rig: Rig, caller: PlainCaller): Violation[] {
   const {requestId} = caller;
   if (caller.answers.length > 1) {
-    return [{promise: 'one final answer', requestId, detail: 'two answers'}];
+    return [{guarantee: 'one final answer', requestId, detail: 'two answers'}];
   }
   const answer = caller.answers[0];
   if (answer?.kind !== 'failed') return [];
   const hasRun = allRuns(rig).some((run) => run.requestId === requestId);
   if (answer.failure.verdict !== Verdict.NOT_RUN || !hasRun) return [];
   const detail = answer.failure.kind;
-  return [{promise: 'not run is true', requestId, detail}];
+  return [{guarantee: 'verdict notRun is correct', requestId, detail}];
 }
 
 function allRuns(rig: Rig) {
@@ -113,6 +118,6 @@
   return {generation: generation ?? '', index: Number(index)};
 }
 
-function callerOf(prompt: string): string {
+function requestIdOf(prompt: string): string {
   return /\[\[caller=([^\]]+)\]\]/.exec(prompt)?.[1] ?? '';
 }
--- a/packages-private/rig/src/index.ts
+++ b/packages-private/rig/src/index.ts
@@ -1,4 +1,4 @@
-export type {AskOptions} from './askOptions.js';
+export type {GenerateOptions} from './askOptions.js';
 export type {Caller} from './caller.js';
 export {FaultSequence} from './faultSequence.js';
 export type {FaultStep} from './faultSequence.js';
--- a/packages-private/rig/src/memoryEngine.ts
+++ b/packages-private/rig/src/memoryEngine.ts
@@ -3,13 +3,14 @@
 import type {EngineEvent, EnginePort} from '@lilacledge/sidecar';
 import type {EngineModel} from '@lilacledge/standins';
 
-type Item = EngineEvent | {readonly type: 'broken'; readonly detail: string};
+type QueuedEvent =
+  EngineEvent | {readonly type: 'broken'; readonly detail: string};
 
-/** The engine model behind the sidecar's port, without a network. */
+/** Connects an engine model to the sidecar's port without a network. */
 export function createMemoryEngine(model: EngineModel): EnginePort {
   return {
     async *generate(request, signal) {
-      const items = new AsyncQueue<Item>();
+      const items = new AsyncQueue<QueuedEvent>();
       const cancel = model.submit(
         {
           id: request.generationId,
--- a/packages-private/rig/src/memoryPlain.ts
+++ b/packages-private/rig/src/memoryPlain.ts
@@ -3,15 +3,15 @@
 import type {PlainPort} from '@lilacledge/sidecar';
 import type {PlainModel} from '@lilacledge/standins';
 
-/** Faults of the way between a sidecar and its plain service. */
+/** Faults between a sidecar and its plain service. */
 export interface PlainFaults {
-  /** The service cannot be reached at all. */
+  /** Connections to the service are refused. */
   isUnreachable: boolean;
   /** The service runs the call, but its answer is lost. */
   losesAnswers: boolean;
 }
 
-/** The plain-service model behind the sidecar's port, without a network. */
+/** Connects a plain-service model to the sidecar's port without a network. */
 export function createMemoryPlain(
   model: PlainModel,
   faults: PlainFaults,
--- a/packages-private/rig/src/pausableClock.ts
+++ b/packages-private/rig/src/pausableClock.ts
@@ -1,17 +1,17 @@
 import type {CancelTimer, Clock} from '@lilacledge/shared';
 
 /**
- * The clock of one process on a rig. While the process is paused its timers
- * are kept back; they fire when it goes on, as after SIGSTOP and SIGCONT.
+ * The clock of one process on a rig. Timers that expire while the process is
+ * paused fire when it resumes, as after SIGSTOP and SIGCONT.
  */
 export class PausableClock implements Clock {
   private isPaused = false;
-  private isDead = false;
-  private held: Array<() => void> = [];
+  private isKilled = false;
+  private deferred: Array<() => void> = [];
 
   constructor(
     private readonly base: Clock,
-    /** Error of this machine's wall clock. */
+    /** Offset of this instance's wall clock from the true time. */
     public wallOffsetMs = 0,
   ) {}
 
@@ -26,8 +26,8 @@
   after(delayMs: number, task: () => void): CancelTimer {
     let isCancelled = false;
     const run = (): void => {
-      if (isCancelled || this.isDead) return;
-      if (this.isPaused) this.held.push(run);
+      if (isCancelled || this.isKilled) return;
+      if (this.isPaused) this.deferred.push(run);
       else task();
     };
     const cancel = this.base.after(delayMs, run);
@@ -43,14 +43,14 @@
 
   resume(): void {
     this.isPaused = false;
-    const held = this.held;
-    this.held = [];
-    for (const run of held) run();
+    const deferred = this.deferred;
+    this.deferred = [];
+    for (const run of deferred) run();
   }
 
-  /** No timer of this process fires any more. */
+  /** Discards all timers of this process, also those set later. */
   kill(): void {
-    this.isDead = true;
-    this.held = [];
+    this.isKilled = true;
+    this.deferred = [];
   }
 }
--- a/packages-private/rig/src/rig.ts
+++ b/packages-private/rig/src/rig.ts
@@ -1,5 +1,5 @@
 import {fleetConfigSchema} from '@lilacledge/config';
-import type {AskOptions} from './askOptions.js';
+import type {GenerateOptions} from './askOptions.js';
 import type {FleetConfig} from '@lilacledge/config';
 import {entrySettingsSchema, sidecarSettingsSchema} from '@lilacledge/config';
 import {createEntry} from '@lilacledge/entry';
@@ -20,7 +20,7 @@
 import type {EngineConstants, MemoryPlatform} from '@lilacledge/standins';
 import {createMetrics, silentLogger, silentTracer} from '@lilacledge/telemetry';
 import type {Logger} from '@lilacledge/telemetry';
-import {newCaller, takeEvent, toPrompt} from './caller.js';
+import {createCaller, recordEvent, buildPrompt} from './caller.js';
 import type {Caller} from './caller.js';
 import {createMemoryEngine} from './memoryEngine.js';
 import {createMemoryPlain} from './memoryPlain.js';
@@ -39,7 +39,7 @@
 const LINK_DELAY_MS = 1.5;
 const STORE_LATENCY_MS = 2;
 
-/** Entries, sidecars and stand-ins in one process, on a virtual clock. */
+/** Runs entries, sidecars and stand-ins in one process on a virtual clock. */
 export class Rig {
   readonly clock = new VirtualClock();
   readonly network: MemoryNetwork;
@@ -50,7 +50,7 @@
   readonly callers: Caller[] = [];
   readonly plainCallers: PlainCaller[] = [];
   private readonly logger: Logger;
-  private ports = 10_000;
+  private lastPort = 10_000;
   private requests = 0;
   private writes = 0;
 
@@ -66,37 +66,51 @@
     service: string,
     zone: string,
     constants: Partial<EngineConstants> = {},
-    extra: Readonly<Record<string, unknown>> = {},
+    extraSettings: Readonly<Record<string, unknown>> = {},
   ): RigSidecar {
     const engine = new EngineModel(this.clock, {
       ...DEFAULT_ENGINE,
       ...constants,
     });
-    return this.addSidecar(instanceId, service, zone, engine, undefined, extra);
+    return this.addSidecar(
+      instanceId,
+      service,
+      zone,
+      engine,
+      undefined,
+      extraSettings,
+    );
   }
 
   addPlain(
     instanceId: string,
     service: string,
     zone: string,
-    extra: Readonly<Record<string, unknown>> = {},
+    extraSettings: Readonly<Record<string, unknown>> = {},
   ): RigSidecar {
     const plain = new PlainModel(this.clock);
-    return this.addSidecar(instanceId, service, zone, undefined, plain, extra);
+    return this.addSidecar(
+      instanceId,
+      service,
+      zone,
+      undefined,
+      plain,
+      extraSettings,
+    );
   }
 
   addEntry(
     instanceId: string,
     zone: string,
-    extra: Readonly<Record<string, unknown>> = {},
+    extraSettings: Readonly<Record<string, unknown>> = {},
   ): RigEntry {
-    const process = this.newProcess(instanceId);
+    const process = this.createProcess(instanceId);
     const settings = entrySettingsSchema.parse({
       role: 'entry',
       ...commonSettings(process, zone),
       operatorKey: OPERATOR_KEY,
       linksPerService: this.options.linksPerService ?? 16,
-      ...extra,
+      ...extraSettings,
     });
     const entry = createEntry(
       {
@@ -111,10 +125,10 @@
       },
       settings,
     );
-    const made: RigEntry = {...process, entry, callers: new Set()};
-    this.entries.set(instanceId, made);
-    this.listMember(made, 'entry', '', zone);
-    return made;
+    const rigEntry: RigEntry = {...process, entry, connectedCallers: new Set()};
+    this.entries.set(instanceId, rigEntry);
+    this.addMember(rigEntry, 'entry', '', zone);
+    return rigEntry;
   }
 
   /** Applies a configuration through the store, as an operator would. */
@@ -139,32 +153,35 @@
     return parsed;
   }
 
-  /** Lets links open, configuration spread and slots be claimed. */
+  /**
+   * Advances the clock so that links open, the configuration spreads and key
+   * slots are claimed.
+   */
   async settle(durationMs = 15_000): Promise<void> {
     await this.clock.advance(durationMs);
   }
 
-  /** Starts one caller's request at an entry. */
-  ask(entryId: string, options: AskOptions = {}): Caller {
+  /** Requests a generation at an entry. */
+  ask(entryId: string, options: GenerateOptions = {}): Caller {
     const target = this.entries.get(entryId)!;
     const requestId = `request-${++this.requests}`;
     const organisation = options.organisation ?? 'clark-yard';
     const outputTokens = options.outputTokens ?? 20;
-    const prompt = toPrompt(requestId, outputTokens, options);
+    const prompt = buildPrompt(requestId, outputTokens, options);
     const model = options.model ?? 'drafting-1';
     const directory = target.entry.directory!;
     const route = directory
       .models(organisation)
       .find((candidate) => candidate.model === model)!;
-    const left = new AbortController();
+    const abortController = new AbortController();
     const maxTokens = options.maxTokens ?? 32_768;
-    const caller = newCaller({
+    const caller = createCaller({
       requestId,
       organisation,
       prompt,
       expectedTokens: Math.min(outputTokens, maxTokens),
       arrivedMs: this.clock.nowMs(),
-      leave: () => left.abort(),
+      disconnect: () => abortController.abort(),
     });
     this.callers.push(caller);
     const events = target.entry.generate(
@@ -178,17 +195,17 @@
         isResumable: true,
         traceparent: '',
       },
-      left.signal,
+      abortController.signal,
     );
-    void this.follow(target, caller, events);
+    void this.recordEvents(target, caller, events);
     return caller;
   }
 
-  /** The caller comes back with the id of the last event that it got. */
+  /** Resumes a caller's stream after the last event that it received. */
   resume(entryId: string, caller: Caller): void {
     const target = this.entries.get(entryId)!;
-    const left = new AbortController();
-    caller.leave = () => left.abort();
+    const abortController = new AbortController();
+    caller.disconnect = () => abortController.abort();
     caller.end = {kind: 'open'};
     const directory = target.entry.directory!;
     const events = target.entry.resume(
@@ -198,12 +215,12 @@
         eventId: toEventId(caller.streamTag, caller.texts.length),
         traceparent: '',
       },
-      left.signal,
+      abortController.signal,
     );
-    void this.follow(target, caller, events);
+    void this.recordEvents(target, caller, events);
   }
 
-  /** Posts a booking at an entry. */
+  /** Calls a plain service through an entry; by default it posts a booking. */
   call(entryId: string, options: CallOptions = {}): PlainCaller {
     const {entry} = this.entries.get(entryId)!;
     const requestId = `request-${++this.requests}`;
@@ -242,7 +259,7 @@
     return toMintedKey(this.clock.wallMs() + offsetMs, bytes);
   }
 
-  /** Kills the process of a sidecar; its endpoint lives on. */
+  /** Kills the process of a sidecar; its endpoint keeps running. */
   killSidecar(instanceId: string): void {
     const target = this.sidecars.get(instanceId)!;
     target.sidecar.stop();
@@ -256,25 +273,25 @@
     this.entries.delete(instanceId);
     target.clock.kill();
     target.entry.stop();
-    for (const caller of target.callers) {
+    for (const caller of target.connectedCallers) {
       caller.end = {kind: 'cut'};
-      caller.leave();
+      caller.disconnect();
     }
   }
 
   /** Starts a new process at the address of a killed sidecar. */
   restartSidecar(instanceId: string): RigSidecar {
     const old = this.sidecars.get(instanceId)!;
-    const made: RigSidecar = {
+    const rigSidecar: RigSidecar = {
       ...old,
       clock: new PausableClock(this.clock, old.clock.wallOffsetMs),
     };
-    this.startSidecar(made);
-    this.sidecars.set(instanceId, made);
-    return made;
+    this.startSidecar(rigSidecar);
+    this.sidecars.set(instanceId, rigSidecar);
+    return rigSidecar;
   }
 
-  /** Holds a process back, sockets open, as SIGSTOP does. */
+  /** Suspends a sidecar with its sockets open, as SIGSTOP does. */
   pause(instanceId: string): void {
     const target = this.sidecars.get(instanceId)!;
     target.clock.pause();
@@ -296,17 +313,17 @@
     });
   }
 
-  private async follow(
+  private async recordEvents(
     target: RigEntry,
     caller: Caller,
     events: ReturnType<Entry['generate']>,
   ): Promise<void> {
-    target.callers.add(caller);
+    target.connectedCallers.add(caller);
     for await (const event of events) {
       if (caller.end.kind === 'cut') break;
-      takeEvent(caller, event, this.clock.nowMs());
+      recordEvent(caller, event, this.clock.nowMs());
     }
-    target.callers.delete(caller);
+    target.connectedCallers.delete(caller);
   }
 
   private addSidecar(
@@ -315,22 +332,22 @@
     zone: string,
     engine: EngineModel | undefined,
     plain: PlainModel | undefined,
-    extra: Readonly<Record<string, unknown>>,
+    extraSettings: Readonly<Record<string, unknown>>,
   ): RigSidecar {
-    const made: RigSidecar = {
-      ...this.newProcess(instanceId),
+    const rigSidecar: RigSidecar = {
+      ...this.createProcess(instanceId),
       service,
       zone,
       sidecar: undefined as unknown as Sidecar,
       engine,
       plain,
       plainFaults: {isUnreachable: false, losesAnswers: false},
-      extra,
+      extraSettings,
     };
-    this.startSidecar(made);
-    this.sidecars.set(instanceId, made);
-    this.listMember(made, 'sidecar', service, zone);
-    return made;
+    this.startSidecar(rigSidecar);
+    this.sidecars.set(instanceId, rigSidecar);
+    this.addMember(rigSidecar, 'sidecar', service, zone);
+    return rigSidecar;
   }
 
   private startSidecar(target: RigSidecar): void {
@@ -342,14 +359,14 @@
         kind: target.engine === undefined ? 'plain' : 'engine',
         url: 'http://127.0.0.1:1',
       },
-      ...target.extra,
+      ...target.extraSettings,
     });
     const sidecar = createSidecar(
       {
         clock: target.clock,
         random: this.random,
         store: this.platform.store,
-        endpoint: this.toEndpoint(target),
+        endpoint: this.createEndpointPort(target),
         logger: this.logger,
         metrics: createMetrics(false),
         tracer: silentTracer,
@@ -361,7 +378,7 @@
     sidecar.start();
   }
 
-  private toEndpoint(target: RigSidecar): EndpointPort {
+  private createEndpointPort(target: RigSidecar): EndpointPort {
     return target.engine !== undefined
       ? {kind: 'engine', engine: createMemoryEngine(target.engine)}
       : {
@@ -370,15 +387,15 @@
         };
   }
 
-  private newProcess(instanceId: string): RigProcess {
+  private createProcess(instanceId: string): RigProcess {
     return {
       instanceId,
       clock: new PausableClock(this.clock),
-      address: {host: '127.0.0.1', port: ++this.ports},
+      address: {host: '127.0.0.1', port: ++this.lastPort},
     };
   }
 
-  private listMember(
+  private addMember(
     process: RigProcess,
     role: MemberRole,
     service: string,
--- a/packages-private/rig/src/rigConfig.ts
+++ b/packages-private/rig/src/rigConfig.ts
@@ -28,10 +28,10 @@
   };
 }
 
-/** Shared by all processes of a rig. */
+/** Key that authenticates links; all processes of a rig share it. */
 const LINK_KEY = 'rig-link-key-0123456789';
 
-/** Settings that entries and sidecars of a rig have alike. */
+/** Settings that entries and sidecars of a rig have in common. */
 export function commonSettings(
   process: RigProcess,
   zone: string,
--- a/packages-private/rig/src/rigTypes.ts
+++ b/packages-private/rig/src/rigTypes.ts
@@ -21,7 +21,7 @@
 
 export interface RigEntry extends RigProcess {
   readonly entry: Entry;
-  readonly callers: Set<Caller>;
+  readonly connectedCallers: Set<Caller>;
 }
 
 export interface RigSidecar extends RigProcess {
@@ -31,7 +31,7 @@
   readonly engine: EngineModel | undefined;
   readonly plain: PlainModel | undefined;
   readonly plainFaults: PlainFaults;
-  readonly extra: Readonly<Record<string, unknown>>;
+  readonly extraSettings: Readonly<Record<string, unknown>>;
 }
 
 export interface CallOptions {
@@ -42,7 +42,7 @@
   readonly method?: string;
 }
 
-/** A plain call on a rig and its answer, once there is one. */
+/** A call to a plain service, and the answers that its caller received. */
 export interface PlainCaller {
   readonly requestId: string;
   readonly key: string;
