--- a/packages-private/standins/src/bin/standin.ts
+++ b/packages-private/standins/src/bin/standin.ts
@@ -7,8 +7,10 @@
 import {createPlainServer} from '../plainServer.js';
 import {createPlatformServer} from '../platformServer.js';
 
-/** Runs one stand-in: `standin platform|engine|plain PORT [CONSTANTS-JSON]`. */
-function create(kind: string | undefined, constants: string): Server {
+/**
+ * Creates the server of `standin platform|engine|plain PORT [CONSTANTS-JSON]`.
+ */
+function createStandin(kind: string | undefined, constants: string): Server {
   switch (kind) {
     case 'platform':
       return createPlatformServer(systemClock);
@@ -25,7 +27,7 @@
 }
 
 const [kind, port, constants] = process.argv.slice(2);
-const server = create(kind, constants ?? '{}');
+const server = createStandin(kind, constants ?? '{}');
 server.listen(Number(port), '127.0.0.1', () => {
   const {port: bound} = server.address() as AddressInfo;
   process.stdout.write(`listening ${bound}\n`);
--- a/packages-private/standins/src/engineConstants.ts
+++ b/packages-private/standins/src/engineConstants.ts
@@ -1,23 +1,23 @@
 /**
- * How the engine stand-in behaves. The defaults are assumptions of the order
- * of an 8-billion-parameter model on one accelerator, not measurements:
- * - a decoding step reads 16 GB of weights at about 2 TB/s: 8 ms, and each
- *   sequence adds its share of cache reads;
- * - a prompt token costs about 16 GFLOP; at 40% of 300 TFLOP/s some 7.5 of
- *   them are read in a millisecond;
- * - the token memory is small on purpose: a crowded engine.
+ * Speed and capacity of the engine stand-in. The defaults approximate an
+ * 8-billion-parameter model on one accelerator:
+ * - a decoding step reads 16 GB of weights at about 2 TB/s, which takes 8 ms;
+ *   each sequence adds the time to read its share of the key-value cache;
+ * - a prompt token costs about 16 GFLOP, so that 40% of 300 TFLOP/s prefill
+ *   about 7.5 tokens in a millisecond;
+ * - the token memory is small on purpose, so that the engine is crowded.
  */
 export interface EngineConstants {
   readonly stepBaseMs: number;
   readonly stepPerSequenceMs: number;
   readonly promptTokensPerMs: number;
-  /** Prompt tokens read in one step, at most. */
+  /** Limit of the prompt tokens that one step prefills. */
   readonly promptChunkTokens: number;
   readonly memoryTokens: number;
   readonly maxBatch: number;
-  /** Tokens of prompts whose prefixes stay cached. */
+  /** Size of the prefix cache in tokens. */
   readonly cacheTokens: number;
-  /** A load report shows the state of this long ago. */
+  /** Age of the state that a load report shows. */
   readonly loadLagMs: number;
 }
 
--- a/packages-private/standins/src/engineModel.ts
+++ b/packages-private/standins/src/engineModel.ts
@@ -3,24 +3,24 @@
 import {outputLength} from './outputLength.js';
 import {PrefixCache} from './prefixCache.js';
 
-/** A generation as an engine is asked for it. */
+/** A generation request as the engine receives it. */
 export interface EngineJobRequest {
   readonly id: string;
   readonly prompt: string;
   readonly promptTokens: number;
   readonly maxTokens: number;
-  /** 0 (first) to 9 (last). */
+  /** From 0 (served first) to 9 (served last). */
   readonly priority: number;
 }
 
-/** Where an engine sends what it produces. */
+/** Receives the output of one generation. */
 export interface EngineSink {
   onToken(text: string): void;
   onDone(finishReason: string): void;
   onBroken(detail: string): void;
 }
 
-/** What an engine has done so far, for checkers and measurements. */
+/** Totals of an engine since its start, for test checks and measurements. */
 export interface EngineCounters {
   started: number;
   completed: number;
@@ -41,17 +41,19 @@
 interface Job {
   readonly request: EngineJobRequest;
   readonly sink: EngineSink;
+  /** Position in the order of arrival. */
   readonly arrival: number;
   readonly length: number;
-  produced: number;
-  /** Prompt tokens still to be read before the next output token. */
-  unread: number;
+  producedTokens: number;
+  /** Tokens still to be prefilled before the next output token. */
+  prefillTokensLeft: number;
 }
 
 /**
- * A model engine in virtual or real time: batches continuously, holds prompts
- * and outputs in a bounded token memory, pushes the last-come generation of
- * the lowest priority aside when that memory fills, and recomputes it later.
+ * Model of an engine on a virtual or real clock. It batches continuously and
+ * holds prompts and outputs in a bounded token memory. When that memory is
+ * full, it preempts the last-arrived generation of the lowest priority and
+ * recomputes its tokens later.
  */
 export class EngineModel {
   readonly counters: EngineCounters = {
@@ -61,42 +63,44 @@
     recomputedTokens: 0,
     producedTokens: 0,
   };
-  /** Requests of any outcome, also those that a dead engine refused. */
+  /** All submitted requests, including those that a crashed engine refused. */
   attempts = 0;
-  /** Prompt of every generation that this engine was asked for. */
+  /** Prompts of all accepted generations, by request id. */
   readonly prompts = new Map<string, string>();
-  /** Steps take this many times longer; 4 is an engine at a quarter speed. */
+  /**
+   * Multiplies the duration of each step: 4 is a quarter of the normal speed.
+   */
   slowFactor = 1;
-  /** A frozen engine keeps everything and produces nothing. */
+  /** A frozen engine keeps its requests but produces no tokens. */
   isFrozen = false;
   private waiting: Job[] = [];
   private running: Job[] = [];
-  private readonly cache: PrefixCache;
-  private step: CancelTimer | undefined;
-  private arrivals = 0;
-  private isDead = false;
+  private readonly prefixCache: PrefixCache;
+  private cancelStep: CancelTimer | undefined;
+  private arrivalCount = 0;
+  private isCrashed = false;
   private readonly history: Array<{atMs: number; load: EngineLoadReport}> = [];
 
   constructor(
     private readonly clock: Clock,
     private readonly constants: EngineConstants,
   ) {
-    this.cache = new PrefixCache(constants.cacheTokens);
+    this.prefixCache = new PrefixCache(constants.cacheTokens);
   }
 
-  /** Queues a generation; the returned function cancels it. */
+  /** Queues a generation and returns a function that cancels it. */
   submit(request: EngineJobRequest, sink: EngineSink): () => void {
     const job: Job = {
       request,
       sink,
-      arrival: this.arrivals++,
+      arrival: this.arrivalCount++,
       length: Math.min(outputLength(request.prompt), request.maxTokens),
-      produced: 0,
-      unread: 0,
+      producedTokens: 0,
+      prefillTokensLeft: 0,
     };
     this.attempts++;
-    if (this.isDead) {
-      sink.onBroken('the engine is dead');
+    if (this.isCrashed) {
+      sink.onBroken('the engine has crashed and was not restarted');
       return () => {};
     }
     this.counters.started++;
@@ -106,24 +110,29 @@
     return () => this.remove(job);
   }
 
-  /** The load as it was a while ago. */
+  /**
+   * Returns the load as it was `loadLagMs` ago, as a delayed load report does.
+   */
   report(): EngineLoadReport {
     const untilMs = this.clock.nowMs() - this.constants.loadLagMs;
     const old = this.history.findLast((entry) => entry.atMs <= untilMs);
     return old?.load ?? this.history[0]?.load ?? this.currentLoad();
   }
 
-  /** Ends everything, as a kill would. */
+  /**
+   * Fails all generations and refuses new ones until `restart`, as a killed
+   * process does.
+   */
   die(): void {
-    this.isDead = true;
+    this.isCrashed = true;
     const jobs = [...this.running, ...this.waiting];
     this.running = [];
     this.waiting = [];
-    for (const job of jobs) job.sink.onBroken('the engine died');
+    for (const job of jobs) job.sink.onBroken('the engine crashed');
   }
 
   revive(): void {
-    this.isDead = false;
+    this.isCrashed = false;
   }
 
   private remove(job: Job): void {
@@ -132,49 +141,53 @@
   }
 
   private schedule(): void {
-    if (this.step !== undefined) return;
+    if (this.cancelStep !== undefined) return;
     if (this.waiting.length + this.running.length === 0) return;
     this.admit();
-    const read = this.readPrompts();
+    const read = this.prefillPrompts();
     const {stepBaseMs, stepPerSequenceMs, promptTokensPerMs} = this.constants;
     const stepMs =
       stepBaseMs +
       stepPerSequenceMs * this.running.length +
       read / promptTokensPerMs;
-    this.step = this.clock.after(stepMs * this.slowFactor, () => {
-      this.step = undefined;
+    this.cancelStep = this.clock.after(stepMs * this.slowFactor, () => {
+      this.cancelStep = undefined;
       if (!this.isFrozen) this.produce();
-      this.note();
+      this.recordLoad();
       this.schedule();
     });
   }
 
   private admit(): void {
-    this.waiting.sort(byUrgency);
+    this.waiting.sort(byPriority);
     while (this.waiting.length > 0) {
       const job = this.waiting[0]!;
-      const need = job.request.promptTokens + job.produced + 1;
+      const neededTokens = job.request.promptTokens + job.producedTokens + 1;
       const isFull =
         this.running.length >= this.constants.maxBatch ||
-        this.usedTokens() + need > this.constants.memoryTokens;
+        this.usedTokens() + neededTokens > this.constants.memoryTokens;
       if (isFull && this.running.length > 0) return;
       this.waiting.shift();
       const cached = Math.min(
-        this.cache.use(job.request.prompt),
+        this.prefixCache.countHitsAndAdd(job.request.prompt),
         job.request.promptTokens,
       );
-      job.unread = job.request.promptTokens - cached + job.produced;
-      this.counters.recomputedTokens += job.produced;
+      job.prefillTokensLeft =
+        job.request.promptTokens - cached + job.producedTokens;
+      this.counters.recomputedTokens += job.producedTokens;
       this.running.push(job);
     }
   }
 
-  /** Reads prompts in order of arrival, up to the chunk of one step. */
-  private readPrompts(): number {
+  /**
+   * Prefills running generations in batch order, up to the chunk limit of one
+   * step; returns the tokens prefilled.
+   */
+  private prefillPrompts(): number {
     let budget = this.constants.promptChunkTokens;
     for (const job of this.running) {
-      const read = Math.min(job.unread, budget);
-      job.unread -= read;
+      const read = Math.min(job.prefillTokensLeft, budget);
+      job.prefillTokensLeft -= read;
       budget -= read;
     }
     return this.constants.promptChunkTokens - budget;
@@ -182,20 +195,23 @@
 
   private produce(): void {
     for (const job of [...this.running]) {
-      if (job.unread > 0 || !this.running.includes(job)) continue;
-      if (!this.makeRoom(job)) continue;
-      this.emit(job);
+      if (job.prefillTokensLeft > 0 || !this.running.includes(job)) continue;
+      if (!this.preemptUntilRoom(job)) continue;
+      this.emitToken(job);
     }
   }
 
-  /** Pushes others aside until one more token fits; false if `job` went. */
-  private makeRoom(job: Job): boolean {
+  /**
+   * Preempts generations until one more token fits; false if `job` itself was
+   * preempted or ended.
+   */
+  private preemptUntilRoom(job: Job): boolean {
     while (this.usedTokens() + 1 > this.constants.memoryTokens) {
       if (this.running.length === 1) {
         this.finish(job, 'length');
         return false;
       }
-      const victim = [...this.running].sort(byUrgency).at(-1)!;
+      const victim = [...this.running].sort(byPriority).at(-1)!;
       this.running = this.running.filter((other) => other !== victim);
       this.waiting.unshift(victim);
       this.counters.preemptions++;
@@ -204,14 +220,14 @@
     return true;
   }
 
-  private emit(job: Job): void {
-    const text = ` ${job.request.id}#${job.produced}`;
-    job.produced++;
+  private emitToken(job: Job): void {
+    const text = ` ${job.request.id}#${job.producedTokens}`;
+    job.producedTokens++;
     this.counters.producedTokens++;
     job.sink.onToken(text);
-    if (job.produced < job.length) return;
-    const isCut = job.length >= job.request.maxTokens;
-    this.finish(job, isCut ? 'length' : 'stop');
+    if (job.producedTokens < job.length) return;
+    const isTruncated = job.length >= job.request.maxTokens;
+    this.finish(job, isTruncated ? 'length' : 'stop');
   }
 
   private finish(job: Job, reason: string): void {
@@ -223,12 +239,12 @@
   private usedTokens(): number {
     let used = 0;
     for (const job of this.running) {
-      used += job.request.promptTokens + job.produced;
+      used += job.request.promptTokens + job.producedTokens;
     }
     return used;
   }
 
-  private note(): void {
+  private recordLoad(): void {
     const atMs = this.clock.nowMs();
     this.history.push({atMs, load: this.currentLoad()});
     const keepMs = 4 * this.constants.loadLagMs;
@@ -247,6 +263,6 @@
   }
 }
 
-function byUrgency(a: Job, b: Job): number {
+function byPriority(a: Job, b: Job): number {
   return a.request.priority - b.request.priority || a.arrival - b.arrival;
 }
--- a/packages-private/standins/src/engineServer.ts
+++ b/packages-private/standins/src/engineServer.ts
@@ -14,17 +14,20 @@
   readonly priority?: number;
 }
 
-/** Faults that `POST /control` brings about. */
+/** Body of `POST /control`: faults to set or to end. */
 interface EngineControl {
   readonly isFrozen?: boolean;
   readonly slowFactor?: number;
-  /** Destroys each stream after this many tokens; null ends the fault. */
+  /**
+   * Closes the connection of each stream after this many tokens; null ends the
+   * fault.
+   */
   readonly breakAfterTokens?: number | null;
 }
 
 /**
- * The engine stand-in over HTTP. It is written on node:http alone, so that the
- * benchmark's direct path costs as little as can be.
+ * Serves the engine stand-in over HTTP. It uses only node:http, to keep the
+ * overhead of the benchmark's direct path low.
  */
 export function createEngineServer(
   clock: Clock,
@@ -33,7 +36,7 @@
   const model = new EngineModel(clock, constants);
   let breakAfterTokens: number | undefined;
 
-  async function control(request: IncomingMessage): Promise<void> {
+  async function applyControl(request: IncomingMessage): Promise<void> {
     const body = (await readJson(request)) as EngineControl;
     if (body.isFrozen !== undefined) model.isFrozen = body.isFrozen;
     if (body.slowFactor !== undefined) model.slowFactor = body.slowFactor;
@@ -63,11 +66,11 @@
         onToken(text) {
           if (sent === breakAfterTokens) return void response.destroy();
           sent++;
-          response.write(toChunk(text, null));
+          response.write(formatChunk(text, null));
         },
         onDone(finishReason) {
           const usage = {prompt_tokens: promptTokens, completion_tokens: sent};
-          response.write(toChunk('', finishReason, usage));
+          response.write(formatChunk('', finishReason, usage));
           response.end('data: [DONE]\n\n');
         },
         onBroken: () => response.destroy(),
@@ -85,14 +88,16 @@
       case '/engine/counters':
         return sendJson(response, 200, model.counters);
       case '/control':
-        return void control(request).then(() => sendJson(response, 200, {}));
+        return void applyControl(request).then(() =>
+          sendJson(response, 200, {}),
+        );
       default:
         return sendJson(response, 404, {});
     }
   });
 }
 
-function toChunk(
+function formatChunk(
   text: string,
   finishReason: string | null,
   usage?: unknown,
--- a/packages-private/standins/src/httpJson.ts
+++ b/packages-private/standins/src/httpJson.ts
@@ -1,6 +1,6 @@
 import type {IncomingMessage, ServerResponse} from 'node:http';
 
-/** Reads a whole JSON body. */
+/** Reads and parses a JSON body; an empty body reads as `{}`. */
 export async function readJson(request: IncomingMessage): Promise<unknown> {
   const chunks: Buffer[] = [];
   for await (const chunk of request) chunks.push(chunk as Buffer);
--- a/packages-private/standins/src/memoryPlatform.ts
+++ b/packages-private/standins/src/memoryPlatform.ts
@@ -10,7 +10,10 @@
 import type {PlatformFaults} from './platformFaults.js';
 import {PlatformModel} from './platformModel.js';
 
-/** The platform inside one process, for rigs on a virtual clock. */
+/**
+ * The platform's store and membership list in memory, for tests on a virtual
+ * clock.
+ */
 export interface MemoryPlatform {
   readonly model: PlatformModel;
   readonly faults: PlatformFaults;
@@ -37,7 +40,7 @@
     const result = run();
     if (faults.lostAnswers > 0) {
       faults.lostAnswers--;
-      throw new StoreError('unknown', 'answer lost');
+      throw new StoreError('unknown', 'the answer to the write was lost');
     }
     return result;
   }
--- a/packages-private/standins/src/plainModel.ts
+++ b/packages-private/standins/src/plainModel.ts
@@ -1,7 +1,7 @@
 import {sleep} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
 
-/** One run of a call, as the service itself remembers it. */
+/** One run of a call, as the service records it. */
 export interface PlainRun {
   readonly requestId: string;
   readonly method: string;
@@ -10,8 +10,8 @@
 }
 
 /**
- * A plain service that books: it runs whatever it is asked to run, as often as
- * it is asked, and remembers each run for the checker.
+ * Model of a plain booking service. It runs every call it receives, repeated
+ * ones too, and records each run, so that tests can check how often a call ran.
  */
 export class PlainModel {
   readonly runs: PlainRun[] = [];
--- a/packages-private/standins/src/plainServer.ts
+++ b/packages-private/standins/src/plainServer.ts
@@ -4,14 +4,14 @@
 import {readJson, sendJson} from './httpJson.js';
 import {PlainModel} from './plainModel.js';
 
-/** Faults that `POST /control` brings about. */
+/** Body of `POST /control`: faults to set. */
 interface PlainControl {
   readonly delayMs?: number;
-  /** When the connection is dropped, relative to the run. */
+  /** Whether the connection is closed before or after the run of a call. */
   readonly drop?: 'before' | 'after' | 'never';
 }
 
-/** The plain-service stand-in over HTTP. */
+/** Serves the plain-service stand-in over HTTP. */
 export function createPlainServer(clock: Clock): Server {
   const model = new PlainModel(clock);
   let drop: PlainControl['drop'] = 'never';
@@ -33,7 +33,7 @@
     response.end(answer.body);
   }
 
-  async function control(request: IncomingMessage): Promise<void> {
+  async function applyControl(request: IncomingMessage): Promise<void> {
     const body = (await readJson(request)) as PlainControl;
     model.delayMs = body.delayMs ?? model.delayMs;
     drop = body.drop ?? drop;
@@ -41,7 +41,7 @@
 
   return createServer((request, response) => {
     if (request.url === '/control') {
-      return void control(request).then(() => sendJson(response, 200, {}));
+      return void applyControl(request).then(() => sendJson(response, 200, {}));
     }
     if (request.url === '/runs') return sendJson(response, 200, model.runs);
     return void run(request, response);
--- a/packages-private/standins/src/platformFaults.ts
+++ b/packages-private/standins/src/platformFaults.ts
@@ -1,12 +1,19 @@
-/** What the platform does with calls; set by command. */
+/**
+ * Faults of the platform; the stand-in over HTTP sets them by `POST /control`.
+ */
 export interface PlatformFaults {
-  /** Calls get no answer and have no effect. */
+  /** Store calls get no answer and have no effect. */
   isDown: boolean;
-  /** Each call is delayed by this. */
+  /** Additional delay of each store call. */
   delayMs: number;
-  /** Writes take effect, but their answers are lost; this many of them. */
+  /**
+   * Number of writes still to come that take effect but whose answer is lost.
+   */
   lostAnswers: number;
-  /** The membership list is frozen as it is. */
+  /**
+   * Readers get the membership list that was last read before this fault began;
+   * only the stand-in over HTTP does this.
+   */
   isMembershipFrozen: boolean;
 }
 
--- a/packages-private/standins/src/platformModel.ts
+++ b/packages-private/standins/src/platformModel.ts
@@ -7,7 +7,7 @@
 } from '@lilacledge/store';
 import type {Clock} from '@lilacledge/shared';
 
-interface Cell {
+interface KeyRecord {
   readonly value: string;
   readonly modRevision: number;
   readonly leaseId: string;
@@ -15,10 +15,13 @@
 
 interface Lease {
   readonly ttlMs: number;
-  expiresMs: number;
+  expiresAtMs: number;
 }
 
-/** How often the platform was called; a waiting watch counts as one call. */
+/**
+ * Number of calls by kind, and of watches that are open now. A watch counts as
+ * one call.
+ */
 export interface PlatformCounters {
   reads: number;
   writes: number;
@@ -27,7 +30,10 @@
   membershipReads: number;
 }
 
-/** The state of the platform's services, and faults of the state itself. */
+/**
+ * State of the key-value store and the membership list, and faults that change
+ * this state.
+ */
 export class PlatformModel {
   readonly counters: PlatformCounters = {
     reads: 0,
@@ -37,12 +43,12 @@
     membershipReads: 0,
   };
   members: Member[] = [];
-  private cells = new Map<string, Cell>();
+  private records = new Map<string, KeyRecord>();
   private revision = 1;
   private readonly leases = new Map<string, Lease>();
   private leaseSequence = 0;
   private readonly watchers = new Set<(changed: StoredValue) => void>();
-  private saved: Map<string, Cell> | undefined;
+  private snapshot: Map<string, KeyRecord> | undefined;
 
   constructor(private readonly clock: Clock) {}
 
@@ -54,13 +60,13 @@
     this.counters.reads++;
     this.expireLeases();
     if (end === undefined) {
-      const cell = this.cells.get(from);
-      return cell === undefined ? [] : [toStored(from, cell)];
+      const record = this.records.get(from);
+      return record === undefined ? [] : [toStored(from, record)];
     }
-    return [...this.cells]
+    return [...this.records]
       .filter(([key]) => key >= from && key < end)
       .sort(([a], [b]) => (a < b ? -1 : 1))
-      .map(([key, cell]) => toStored(key, cell));
+      .map(([key, record]) => toStored(key, record));
   }
 
   transact(
@@ -69,11 +75,11 @@
   ): CompareAndSwapResult {
     this.counters.writes++;
     this.expireLeases();
-    const holds = conditions.every(
+    const conditionsHold = conditions.every(
       ({key, modRevision}) =>
-        (this.cells.get(key)?.modRevision ?? 0) === modRevision,
+        (this.records.get(key)?.modRevision ?? 0) === modRevision,
     );
-    if (!holds) return {outcome: 'conflict'};
+    if (!conditionsHold) return {outcome: 'conflict'};
     this.revision++;
     for (const write of writes) this.set(write);
     return {outcome: 'swapped', modRevision: this.revision};
@@ -82,7 +88,7 @@
   grantLease(ttlMs: number): string {
     this.counters.writes++;
     const id = String(++this.leaseSequence);
-    this.leases.set(id, {ttlMs, expiresMs: this.clock.nowMs() + ttlMs});
+    this.leases.set(id, {ttlMs, expiresAtMs: this.clock.nowMs() + ttlMs});
     return id;
   }
 
@@ -91,7 +97,7 @@
     this.expireLeases();
     const lease = this.leases.get(id);
     if (lease === undefined) return 0;
-    lease.expiresMs = this.clock.nowMs() + lease.ttlMs;
+    lease.expiresAtMs = this.clock.nowMs() + lease.ttlMs;
     return lease.ttlMs;
   }
 
@@ -100,7 +106,9 @@
     this.dropLease(id);
   }
 
-  /** Ends every lease at once. */
+  /**
+   * Expires every lease at once and deletes the keys that are attached to them.
+   */
   lapseLeases(): void {
     for (const id of [...this.leases.keys()]) this.dropLease(id);
   }
@@ -114,41 +122,44 @@
     };
   }
 
-  /** Remembers the present state, to come back to it. */
+  /** Takes a snapshot of all keys for a later `restore`. */
   save(): void {
-    this.saved = new Map(this.cells);
+    this.snapshot = new Map(this.records);
   }
 
-  /** Comes back to the remembered state, as a restored backup would. */
+  /**
+   * Restores the keys of the snapshot, as a restored backup would; the revision
+   * keeps growing.
+   */
   restore(): void {
-    if (this.saved !== undefined) this.cells = new Map(this.saved);
+    if (this.snapshot !== undefined) this.records = new Map(this.snapshot);
   }
 
   private set(write: StoreWrite): void {
-    const cell: Cell = {
+    const record: KeyRecord = {
       value: write.value,
       modRevision: this.revision,
       leaseId: write.leaseId ?? '',
     };
-    this.cells.set(write.key, cell);
-    for (const notify of this.watchers) notify(toStored(write.key, cell));
+    this.records.set(write.key, record);
+    for (const notify of this.watchers) notify(toStored(write.key, record));
   }
 
   private expireLeases(): void {
     const nowMs = this.clock.nowMs();
     for (const [id, lease] of this.leases) {
-      if (lease.expiresMs <= nowMs) this.dropLease(id);
+      if (lease.expiresAtMs <= nowMs) this.dropLease(id);
     }
   }
 
   private dropLease(id: string): void {
     this.leases.delete(id);
-    for (const [key, cell] of this.cells) {
-      if (cell.leaseId === id) this.cells.delete(key);
+    for (const [key, record] of this.records) {
+      if (record.leaseId === id) this.records.delete(key);
     }
   }
 }
 
-function toStored(key: string, cell: Cell): StoredValue {
-  return {key, value: cell.value, modRevision: cell.modRevision};
+function toStored(key: string, record: KeyRecord): StoredValue {
+  return {key, value: record.value, modRevision: record.modRevision};
 }
--- a/packages-private/standins/src/platformServer.ts
+++ b/packages-private/standins/src/platformServer.ts
@@ -13,7 +13,7 @@
 import type {PlatformFaults} from './platformFaults.js';
 import {PlatformModel} from './platformModel.js';
 
-interface WireBody {
+interface EtcdRequestBody {
   readonly key?: string;
   readonly value?: string;
   readonly range_end?: string;
@@ -21,25 +21,25 @@
   readonly ID?: string;
   readonly TTL?: number;
   readonly compare?: ReadonlyArray<{key: string; mod_revision: string}>;
-  readonly success?: ReadonlyArray<{request_put: WireBody}>;
+  readonly success?: ReadonlyArray<{request_put: EtcdRequestBody}>;
   readonly create_request?: {key: string};
 }
 
-/** Commands of `POST /control`, beside the faults themselves. */
+/** Body of `POST /control`: faults to set, and a one-time action. */
 type PlatformControl = Partial<PlatformFaults> & {
   readonly action?: 'save' | 'restore' | 'lapseLeases' | 'endWatches';
 };
 
-const MILLISECONDS = 1000;
+const MS_PER_S = 1000;
 
 /**
- * The platform stand-in over HTTP: the JSON form of the etcd v3 API for the
- * key-value service, and a JSON document for the membership list.
+ * Serves the platform stand-in over HTTP: the JSON mapping of the etcd v3 API
+ * for the key-value store, and a JSON document for the membership list.
  */
 export function createPlatformServer(clock: Clock): Server {
   const model = new PlatformModel(clock);
   const faults = {...NO_FAULTS};
-  const watches = new Set<ServerResponse>();
+  const openWatches = new Set<ServerResponse>();
   let frozenMembers: Member[] = [];
 
   async function serve(
@@ -47,14 +47,14 @@
     response: ServerResponse,
   ): Promise<void> {
     const path = request.url ?? '';
-    if (path === '/control') return control(request, response);
+    if (path === '/control') return applyControl(request, response);
     if (path === '/counters') return sendJson(response, 200, model.counters);
     if (path === '/members') return members(request, response);
-    const body = (await readJson(request)) as WireBody;
+    const body = (await readJson(request)) as EtcdRequestBody;
     if (faults.delayMs > 0) await sleep(clock, faults.delayMs);
     if (faults.isDown) return void response.destroy();
     if (path === '/v3/watch') return watch(request, response, body);
-    const answer = answerCall(path, body);
+    const answer = handleStoreCall(path, body);
     if (isWrite(path) && faults.lostAnswers > 0) {
       faults.lostAnswers--;
       return void response.destroy();
@@ -62,24 +62,28 @@
     sendJson(response, answer === undefined ? 404 : 200, answer ?? {});
   }
 
-  function answerCall(path: string, body: WireBody): unknown {
+  function handleStoreCall(path: string, body: EtcdRequestBody): unknown {
     switch (path) {
       case '/v3/kv/range': {
         const end =
-          body.range_end === undefined ? undefined : decode(body.range_end);
-        const kvs = model.range(decode(body.key!), end).map(toWire);
+          body.range_end === undefined
+            ? undefined
+            : decodeBase64(body.range_end);
+        const kvs = model
+          .range(decodeBase64(body.key!), end)
+          .map(encodeKeyValue);
         return {header: header(), kvs, count: String(kvs.length)};
       }
       case '/v3/kv/put':
-        model.transact([], [toWrite(body)]);
+        model.transact([], [parseWrite(body)]);
         return {header: header()};
       case '/v3/kv/txn':
         return transact(body);
       case '/v3/lease/grant':
-        return {ID: model.grantLease(body.TTL! * MILLISECONDS), TTL: body.TTL};
+        return {ID: model.grantLease(body.TTL! * MS_PER_S), TTL: body.TTL};
       case '/v3/lease/keepalive': {
-        const leftMs = model.keepLeaseAlive(body.ID!);
-        return {result: {ID: body.ID, TTL: String(leftMs / MILLISECONDS)}};
+        const remainingMs = model.keepLeaseAlive(body.ID!);
+        return {result: {ID: body.ID, TTL: String(remainingMs / MS_PER_S)}};
       }
       case '/v3/lease/revoke':
         model.revokeLease(body.ID!);
@@ -89,12 +93,12 @@
     }
   }
 
-  function transact(body: WireBody): unknown {
+  function transact(body: EtcdRequestBody): unknown {
     const conditions = (body.compare ?? []).map((compare): StoreCondition => ({
-      key: decode(compare.key),
+      key: decodeBase64(compare.key),
       modRevision: Number(compare.mod_revision),
     }));
-    const writes = (body.success ?? []).map((op) => toWrite(op.request_put));
+    const writes = (body.success ?? []).map((op) => parseWrite(op.request_put));
     const result = model.transact(conditions, writes);
     return {header: header(), succeeded: result.outcome === 'swapped'};
   }
@@ -102,19 +106,19 @@
   function watch(
     request: IncomingMessage,
     response: ServerResponse,
-    body: WireBody,
+    body: EtcdRequestBody,
   ): void {
-    const key = decode(body.create_request!.key);
+    const key = decodeBase64(body.create_request!.key);
     response.writeHead(200, {'content-type': 'application/json'});
     response.write(`${JSON.stringify({result: {created: true}})}\n`);
     const stop = model.watch((changed) => {
       if (changed.key !== key || faults.isDown) return;
-      const events = [{type: 'PUT', kv: toWire(changed)}];
+      const events = [{type: 'PUT', kv: encodeKeyValue(changed)}];
       response.write(`${JSON.stringify({result: {events}})}\n`);
     });
-    watches.add(response);
+    openWatches.add(response);
     response.on('close', () => {
-      watches.delete(response);
+      openWatches.delete(response);
       stop();
     });
   }
@@ -138,7 +142,7 @@
     sendJson(response, 200, {members: frozenMembers});
   }
 
-  async function control(
+  async function applyControl(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -148,7 +152,7 @@
     if (action === 'restore') model.restore();
     if (action === 'lapseLeases') model.lapseLeases();
     if (action === 'endWatches' || faults.isDown) {
-      for (const open of watches) open.destroy();
+      for (const open of openWatches) open.destroy();
     }
     sendJson(response, 200, {});
   }
@@ -168,26 +172,26 @@
   return path !== '/v3/kv/range';
 }
 
-function toWrite(body: WireBody): StoreWrite {
+function parseWrite(body: EtcdRequestBody): StoreWrite {
   return {
-    key: decode(body.key!),
-    value: decode(body.value ?? ''),
+    key: decodeBase64(body.key!),
+    value: decodeBase64(body.value ?? ''),
     ...(body.lease === undefined ? {} : {leaseId: body.lease}),
   };
 }
 
-function toWire(stored: StoredValue): unknown {
+function encodeKeyValue(stored: StoredValue): unknown {
   return {
-    key: encode(stored.key),
-    value: encode(stored.value),
+    key: encodeBase64(stored.key),
+    value: encodeBase64(stored.value),
     mod_revision: String(stored.modRevision),
   };
 }
 
-function encode(text: string): string {
+function encodeBase64(text: string): string {
   return Buffer.from(text).toString('base64');
 }
 
-function decode(text: string): string {
+function decodeBase64(text: string): string {
   return Buffer.from(text, 'base64').toString();
 }
--- a/packages-private/standins/src/prefixCache.ts
+++ b/packages-private/standins/src/prefixCache.ts
@@ -1,10 +1,16 @@
 import {hash32} from '@lilacledge/shared';
 
-/** Characters of one cached block; at four characters a token, 64 tokens. */
+/**
+ * A cached block is 256 characters, which is 64 tokens at four characters per
+ * token.
+ */
 const BLOCK_CHARS = 256;
 const BLOCK_TOKENS = 64;
 
-/** A bounded cache of prompt prefixes, in blocks, least recently used out. */
+/**
+ * A bounded cache of prompt prefixes in blocks, with least-recently-used
+ * eviction.
+ */
 export class PrefixCache {
   private readonly blocks = new Set<number>();
   private readonly maxBlocks: number;
@@ -13,20 +19,25 @@
     this.maxBlocks = Math.floor(cacheTokens / BLOCK_TOKENS);
   }
 
-  /** Tokens of `prompt` that are cached; caches the rest. */
-  use(prompt: string): number {
-    let hits = 0;
+  /**
+   * Returns how many tokens of `prompt` are cached as a prefix, and caches all
+   * its blocks.
+   */
+  countHitsAndAdd(prompt: string): number {
+    let hitBlocks = 0;
     let isHit = true;
-    let chain = 0;
+    let prefixHash = 0;
     for (let end = BLOCK_CHARS; end <= prompt.length; end += BLOCK_CHARS) {
-      chain = hash32(`${chain}|${prompt.slice(end - BLOCK_CHARS, end)}`);
-      isHit &&= this.blocks.delete(chain);
-      if (isHit) hits++;
-      this.blocks.delete(chain);
-      this.blocks.add(chain);
+      prefixHash = hash32(
+        `${prefixHash}|${prompt.slice(end - BLOCK_CHARS, end)}`,
+      );
+      isHit &&= this.blocks.delete(prefixHash);
+      if (isHit) hitBlocks++;
+      this.blocks.delete(prefixHash);
+      this.blocks.add(prefixHash);
     }
     this.evict();
-    return hits * BLOCK_TOKENS;
+    return hitBlocks * BLOCK_TOKENS;
   }
 
   private evict(): void {
