--- a/packages-private/localstack/src/__tests__/interfaces.test.ts
+++ b/packages-private/localstack/src/__tests__/interfaces.test.ts
@@ -24,14 +24,14 @@
   readonly parentSpanId?: string;
 }
 
-/** Takes OTLP spans in their JSON form. */
+/** An HTTP server that collects OTLP spans in the JSON encoding. */
 class SpanCollector {
   readonly spans: Span[] = [];
   private readonly server: Server = createServer((request, response) => {
     const chunks: Buffer[] = [];
     request.on('data', (chunk: Buffer) => chunks.push(chunk));
     request.on('end', () => {
-      this.take(JSON.parse(Buffer.concat(chunks).toString()));
+      this.addSpans(JSON.parse(Buffer.concat(chunks).toString()));
       response.end('{}');
     });
   });
@@ -49,7 +49,7 @@
     this.server.close();
   }
 
-  private take(body: {
+  private addSpans(body: {
     resourceSpans: Array<{scopeSpans: Array<{spans: Span[]}>}>;
   }): void {
     for (const {scopeSpans} of body.resourceSpans) {
@@ -64,7 +64,7 @@
   readonly stderr: string;
 }
 
-describe('the interfaces of a running stack', () => {
+describe('the HTTP and command-line interfaces of a running stack', () => {
   const collector = new SpanCollector();
   const folder = mkdtempSync(join(tmpdir(), 'lilacledge-cli-'));
   let small: SmallStack;
@@ -79,7 +79,7 @@
     collector.stop();
   });
 
-  /** Runs a binary of the product to its end. */
+  /** Runs a command of the product until it exits. */
   function run(binary: string, ...args: string[]): Promise<CommandResult> {
     const require = createRequire(import.meta.url);
     const dist = dirname(require.resolve('lilacledge'));
@@ -97,7 +97,7 @@
     });
   }
 
-  function operate(...args: string[]): Promise<CommandResult> {
+  function runCli(...args: string[]): Promise<CommandResult> {
     return run('lilacledge', '--entry', small.entries[0].url, ...args);
   }
 
@@ -108,7 +108,7 @@
   }
 
   describe('callers', () => {
-    it('may use a stock chat-completions client', async () => {
+    it('can use the standard OpenAI client for chat completions', async () => {
       const client = new OpenAI({
         baseURL: `${small.entries[0].url}/v1`,
         apiKey: localApiKey('clark-yard'),
@@ -143,17 +143,23 @@
       ['broken JSON', 'clark-yard', '{"model":', 400],
       ['a missing prompt', 'clark-yard', '{"model":"drafting-1"}', 400],
       ['an oversize body', 'clark-yard', `"${'x'.repeat(1_100_000)}"`, 413],
-    ])('get a clear answer to %s', async (_, organisation, body, status) => {
-      const response = await fetch(`${small.entries[0].url}/v1/completions`, {
-        method: 'POST',
-        headers: {authorization: `Bearer ${localApiKey(organisation)}`},
-        body,
-      });
-      expect(response.status).toBe(status);
-      expect(await response.json()).toMatchObject({verdict: 'notRun', status});
-    });
+    ])(
+      'get a problem document with the status of %s',
+      async (_, organisation, body, status) => {
+        const response = await fetch(`${small.entries[0].url}/v1/completions`, {
+          method: 'POST',
+          headers: {authorization: `Bearer ${localApiKey(organisation)}`},
+          body,
+        });
+        expect(response.status).toBe(status);
+        expect(await response.json()).toMatchObject({
+          verdict: 'notRun',
+          status,
+        });
+      },
+    );
 
-    it('are refused a forged event id', async () => {
+    it('are refused when they send a forged event id', async () => {
       const answer = await streamGeneration({
         url: small.entries[0].url,
         organisation: 'clark-yard',
@@ -165,7 +171,7 @@
     });
   });
 
-  it('shows a span for each hop of a request, in one trace', async () => {
+  it('exports a span of the entry and one of the sidecar, in one trace', async () => {
     const traceId = 'ab'.repeat(16);
     const response = await fetch(`${small.entries[0].url}/v1/completions`, {
       method: 'POST',
@@ -188,9 +194,9 @@
 
   describe('operators', () => {
     it('see the endpoints, as a table and as JSON', async () => {
-      const table = await operate('status');
+      const table = await runCli('status');
       expect(table.stdout).toContain('engine-1');
-      const json = await operate('--json', 'status');
+      const json = await runCli('--json', 'status');
       const rows = JSON.parse(json.stdout) as Array<{endpoint: string}>;
       expect(rows.map(({endpoint}) => endpoint).sort()).toEqual([
         'engine-1',
@@ -200,7 +206,7 @@
       ]);
     });
 
-    it('check a file offline: file, line, field and what is allowed', async () => {
+    it('check a file offline and see the file, line and field of each error', async () => {
       const file = writeFile(
         'broken.jsonc',
         '{\n  "services": {},\n  "organisations": [],\n  "routes": [\n    {"organisations": ["*"], "service": "nowhere"}\n  ]\n}\n',
@@ -210,33 +216,33 @@
       expect(result.stdout).toContain(`${file}:5: routes.0.service: unknown`);
     });
 
-    it('apply, read, compare and list changes; a conflict has a code', async () => {
+    it('apply, read, compare and list changes; a conflict exits with code 3', async () => {
       const changed = CONFIG.replace('"clark-yard"', '"clark-depot"');
       const file = writeFile('changed.jsonc', changed);
-      const diff = await operate('--json', 'config', 'diff', file);
+      const diff = await runCli('--json', 'config', 'diff', file);
       expect(diff.stdout).toContain('clark-depot');
-      const applied = await operate('config', 'apply', file, '--author', 'ana');
+      const applied = await runCli('config', 'apply', file, '--author', 'ana');
       expect(applied).toMatchObject({code: 0});
-      const conflict = await operate('config', 'apply', file, '--base', '1');
+      const conflict = await runCli('config', 'apply', file, '--base', '1');
       expect(conflict.code).toBe(3);
       expect(conflict.stdout).toContain('ana');
-      const history = await operate('--json', 'config', 'history');
+      const history = await runCli('--json', 'config', 'history');
       const rows = JSON.parse(history.stdout) as Array<{author: string}>;
       expect(rows.map(({author}) => author)).toEqual(['ana', 'test']);
-      const first = await operate('config', 'get', '--revision', '1');
+      const first = await runCli('config', 'get', '--revision', '1');
       expect(first.stdout).toContain('clark-yard');
       const restored = writeFile('restored.jsonc', CONFIG);
-      expect((await operate('config', 'apply', restored)).code).toBe(0);
+      expect((await runCli('config', 'apply', restored)).code).toBe(0);
     });
 
-    it('are refused without their key', async () => {
+    it('are refused with a wrong operator key', async () => {
       const file = writeFile('key', 'wrong-key-0123456789');
-      const result = await operate('--key-file', file, 'status');
+      const result = await runCli('--key-file', file, 'status');
       expect(result.code).toBe(1);
       expect(result.stderr).toContain('wrong operator key');
     });
 
-    it('hear why a request went where it did', async () => {
+    it('can see why a request was routed to its endpoint', async () => {
       const requestId = 'explain-me';
       await streamGeneration({
         url: small.entries[0].url,
@@ -245,15 +251,15 @@
         prompt: '[[output=3]]',
         requestId,
       });
-      const result = await operate('explain', requestId);
+      const result = await runCli('explain', requestId);
       expect(result.stdout).toContain('endpoint chosen');
       expect(result.stdout).toContain('answered');
     });
 
     it('drain an endpoint', async () => {
-      expect((await operate('drain', 'engine-2')).code).toBe(0);
+      expect((await runCli('drain', 'engine-2')).code).toBe(0);
       await waitFor('draining', async () => {
-        const {stdout} = await operate('--json', 'status');
+        const {stdout} = await runCli('--json', 'status');
         const rows = JSON.parse(stdout) as Array<{
           endpoint: string;
           state: string;
@@ -264,7 +270,7 @@
     });
   });
 
-  it('names what is wrong in settings, and repeats no secret', async () => {
+  it('reports the line and key of invalid settings without printing secrets', async () => {
     const file = writeFile(
       'entry.jsonc',
       '{\n  "role": "entry",\n  "instanceId": "e",\n  "zone": "z",\n  "port": "x",\n  "linkKey": "short-secret"\n}\n',
--- a/packages-private/localstack/src/__tests__/smallStack.ts
+++ b/packages-private/localstack/src/__tests__/smallStack.ts
@@ -2,7 +2,7 @@
 import {LocalStack, waitFor, waitForOk} from '../index.js';
 import type {SidecarProcess, StackProcess} from '../index.js';
 
-/** The configuration that all tests with processes start from. */
+/** The configuration document that `startSmallStack` applies. */
 export const CONFIG = readFileSync(
   new URL('../../configs/bayanihan.jsonc', import.meta.url),
   'utf8',
@@ -12,10 +12,10 @@
   readonly stack: LocalStack;
   readonly entries: readonly [StackProcess, StackProcess];
   readonly engines: readonly SidecarProcess[];
-  readonly homes: readonly SidecarProcess[];
+  readonly plainSidecars: readonly SidecarProcess[];
 }
 
-/** Two entries, two engines and two homes of a plain service. */
+/** Starts two entries, two engines and two endpoints of a plain service. */
 export async function startSmallStack(
   extra: Readonly<Record<string, unknown>> = {},
 ): Promise<SmallStack> {
@@ -33,14 +33,27 @@
   extra: Readonly<Record<string, unknown>>,
 ): Promise<SmallStack> {
   await stack.startPlatform();
-  const slow = {stepBaseMs: 10};
-  // All clocks are one here, so that a new grant takes new keys almost at once.
-  const homeExtra = {slotRoundMs: 100, keySkewMs: 0, ...extra};
-  const [engine1, engine2, home1, home2] = await Promise.all([
-    stack.startEngineSidecar('engine-1', 'drafting-llm', 'clark', slow, extra),
-    stack.startEngineSidecar('engine-2', 'drafting-llm', 'clark', slow, extra),
-    stack.startPlainSidecar('home-1', 'booking-api', 'clark', homeExtra),
-    stack.startPlainSidecar('home-2', 'booking-api', 'clark', homeExtra),
+  const slowEngine = {stepBaseMs: 10};
+  // All processes share one clock, so no clock skew has to pass before a new
+  // slot grant accepts new keys.
+  const plainExtra = {slotRoundMs: 100, keySkewMs: 0, ...extra};
+  const [engine1, engine2, plain1, plain2] = await Promise.all([
+    stack.startEngineSidecar(
+      'engine-1',
+      'drafting-llm',
+      'clark',
+      slowEngine,
+      extra,
+    ),
+    stack.startEngineSidecar(
+      'engine-2',
+      'drafting-llm',
+      'clark',
+      slowEngine,
+      extra,
+    ),
+    stack.startPlainSidecar('home-1', 'booking-api', 'clark', plainExtra),
+    stack.startPlainSidecar('home-2', 'booking-api', 'clark', plainExtra),
   ]);
   const entries = [
     await stack.startEntry('entry-1', 'clark', extra),
@@ -50,7 +63,7 @@
     stack,
     entries,
     engines: [engine1, engine2],
-    homes: [home1, home2],
+    plainSidecars: [plain1, plain2],
   };
   await stack.operator(entries[0]).applyConfig({
     writeId: 'first',
@@ -62,7 +75,10 @@
   return made;
 }
 
-/** Waits until both entries see all endpoints serving and all slots owned. */
+/**
+ * Waits until each running entry sees all endpoints serving and all key slots
+ * owned.
+ */
 export async function waitUntilServing(small: SmallStack): Promise<void> {
   for (const entry of small.entries) {
     if (!entry.child.isRunning) continue;
@@ -76,12 +92,12 @@
   }
 }
 
-/** What a service says that it ran. */
-export async function runsAt(
-  homes: readonly SidecarProcess[],
+/** Returns the runs that the endpoints of a plain service have recorded. */
+export async function recordedRuns(
+  sidecars: readonly SidecarProcess[],
 ): Promise<ReadonlyArray<{readonly body: string}>> {
   const lists = await Promise.all(
-    homes.map(async ({endpointUrl}) => {
+    sidecars.map(async ({endpointUrl}) => {
       const response = await fetch(`${endpointUrl}/runs`);
       return (await response.json()) as Array<{body: string}>;
     }),
--- a/packages-private/localstack/src/__tests__/wholePath.test.ts
+++ b/packages-private/localstack/src/__tests__/wholePath.test.ts
@@ -16,7 +16,7 @@
   'utf8',
 );
 
-describe('the whole path as separate processes', () => {
+describe('requests through entries and sidecars in separate processes', () => {
   const stack = new LocalStack();
   let entries: StackProcess[] = [];
 
@@ -81,15 +81,15 @@
     });
 
     it('resumes at the other entry after the last event received', async () => {
-      const leave = new AbortController();
+      const controller = new AbortController();
       const first = await streamGeneration({
         url: entries[0]!.url,
         organisation: 'clark-yard',
         model: 'drafting-1',
         prompt: 'a long hire-term draft [[output=300]]',
-        signal: leave.signal,
+        signal: controller.signal,
         onToken: (answer) => {
-          if (answer.texts.length >= 50) leave.abort();
+          if (answer.texts.length >= 50) controller.abort();
         },
       });
       expect(first.isComplete).toBe(false);
@@ -108,7 +108,7 @@
     });
   });
 
-  it('holds no request open after the callers have left', async () => {
+  it('has no open request after the callers have disconnected', async () => {
     for (const entry of entries) {
       await waitFor('no open request', async () => {
         const status = await stack.operator(entry).getStatus({});
@@ -120,14 +120,14 @@
   describe('plain services', () => {
     it('runs a booking once, however often its key is sent', async () => {
       const key = toMintedKey(Date.now(), randomBytes(10));
-      const ask = {
+      const booking = {
         organisation: 'clark-yard',
         service: 'booking-api',
         body: {drums: 3},
         key,
       };
-      const first = await postBooking({...ask, url: entries[0]!.url});
-      const again = await postBooking({...ask, url: entries[1]!.url});
+      const first = await postBooking({...booking, url: entries[0]!.url});
+      const again = await postBooking({...booking, url: entries[1]!.url});
       expect(first.status).toBe(201);
       expect(again.body).toEqual(first.body);
       expect(again.isReplay).toBe(true);
--- a/packages-private/localstack/src/callers.ts
+++ b/packages-private/localstack/src/callers.ts
@@ -2,20 +2,20 @@
 import {request} from 'undici';
 import {localApiKey} from './localStack.js';
 
-/** What a caller got of one streamed generation. */
+/** What a caller received of one streamed generation. */
 export interface StreamedAnswer {
   readonly status: number;
   readonly texts: string[];
   readonly eventIds: string[];
-  /** True only after the end event. */
+  /** True once the `[DONE]` event was received. */
   isComplete: boolean;
   /** The error event, if the stream ended with one. */
   error: {readonly title: string; readonly verdict: string} | undefined;
-  /** True when the connection broke without any end. */
+  /** True if the stream ended without a `[DONE]` or error event. */
   isBroken: boolean;
 }
 
-export interface GenerationAsk {
+export interface GenerationRequestOptions {
   readonly url: string;
   readonly organisation: string;
   readonly model: string;
@@ -24,33 +24,41 @@
   readonly lastEventId?: string;
   readonly requestId?: string;
   readonly signal?: AbortSignal;
-  /** Called after each event; a promise holds the reader back. */
+  /**
+   * Called after each received chunk; reading pauses until a returned promise
+   * resolves.
+   */
   readonly onToken?: (answer: StreamedAnswer) => Promise<void> | void;
 }
 
-/** Asks for a generation as a stock client does, and reads it to its end. */
+/**
+ * Requests a streamed generation as a standard client does, and reads it to its
+ * end.
+ */
 export async function streamGeneration(
-  ask: GenerationAsk,
+  options: GenerationRequestOptions,
 ): Promise<StreamedAnswer> {
-  const response = await request(`${ask.url}/v1/completions`, {
+  const response = await request(`${options.url}/v1/completions`, {
     method: 'POST',
     headers: {
-      authorization: `Bearer ${localApiKey(ask.organisation)}`,
+      authorization: `Bearer ${localApiKey(options.organisation)}`,
       'content-type': 'application/json',
-      ...(ask.requestId === undefined ? {} : {'x-request-id': ask.requestId}),
-      ...(ask.lastEventId === undefined
+      ...(options.requestId === undefined
         ? {}
-        : {'last-event-id': ask.lastEventId}),
+        : {'x-request-id': options.requestId}),
+      ...(options.lastEventId === undefined
+        ? {}
+        : {'last-event-id': options.lastEventId}),
     },
     body: JSON.stringify({
-      model: ask.model,
-      prompt: ask.prompt,
+      model: options.model,
+      prompt: options.prompt,
       stream: true,
-      max_tokens: ask.maxTokens ?? 4_096,
+      max_tokens: options.maxTokens ?? 4_096,
     }),
     headersTimeout: 0,
     bodyTimeout: 0,
-    signal: ask.signal,
+    signal: options.signal,
   });
   const answer: StreamedAnswer = {
     status: response.statusCode,
@@ -64,18 +72,18 @@
     answer.error = (await response.body.json()) as StreamedAnswer['error'];
     return answer;
   }
-  await readStream(response.body, answer, ask.onToken);
+  await readStream(response.body, answer, options.onToken);
   return answer;
 }
 
 async function readStream(
   body: AsyncIterable<Buffer>,
   answer: StreamedAnswer,
-  onToken: GenerationAsk['onToken'],
+  onToken: GenerationRequestOptions['onToken'],
 ): Promise<void> {
   const decoder = new TextDecoder();
   const parser = createParser({
-    onEvent: (event) => takeEvent(answer, event),
+    onEvent: (event) => applyEvent(answer, event),
   });
   try {
     for await (const bytes of body) {
@@ -88,7 +96,7 @@
   if (!answer.isComplete && answer.error === undefined) answer.isBroken = true;
 }
 
-function takeEvent(
+function applyEvent(
   answer: StreamedAnswer,
   event: {id?: string; event?: string; data: string},
 ): void {
@@ -110,7 +118,7 @@
   answer.eventIds.push(event.id ?? '');
 }
 
-export interface BookingAsk {
+export interface BookingRequestOptions {
   readonly url: string;
   readonly organisation: string;
   readonly service: string;
@@ -119,26 +127,30 @@
   readonly requestId?: string;
 }
 
-/** The final answer to a plain call. */
+/** The answer to a booking call. */
 export interface BookingAnswer {
   readonly status: number;
   readonly isReplay: boolean;
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** Posts a booking under an idempotency key. */
-export async function postBooking(ask: BookingAsk): Promise<BookingAnswer> {
+/** Posts a booking, with an idempotency key if one is given. */
+export async function postBooking(
+  options: BookingRequestOptions,
+): Promise<BookingAnswer> {
   const response = await request(
-    `${ask.url}/services/${ask.service}/bookings`,
+    `${options.url}/services/${options.service}/bookings`,
     {
       method: 'POST',
       headers: {
-        authorization: `Bearer ${localApiKey(ask.organisation)}`,
+        authorization: `Bearer ${localApiKey(options.organisation)}`,
         'content-type': 'application/json',
-        ...(ask.key === undefined ? {} : {'idempotency-key': ask.key}),
-        ...(ask.requestId === undefined ? {} : {'x-request-id': ask.requestId}),
+        ...(options.key === undefined ? {} : {'idempotency-key': options.key}),
+        ...(options.requestId === undefined
+          ? {}
+          : {'x-request-id': options.requestId}),
       },
-      body: JSON.stringify(ask.body),
+      body: JSON.stringify(options.body),
       headersTimeout: 60_000,
     },
   );
--- a/packages-private/localstack/src/childProcess.ts
+++ b/packages-private/localstack/src/childProcess.ts
@@ -2,7 +2,7 @@
 import type {ChildProcess} from 'node:child_process';
 import {createInterface} from 'node:readline';
 
-/** One started process, with its last lines of output. */
+/** A started process with its last lines of output. */
 export interface Child {
   readonly name: string;
   readonly pid: number;
@@ -13,10 +13,12 @@
   signal(signal: NodeJS.Signals): void;
 }
 
-const KEPT_LINES = 200;
-const START_LIMIT_MS = 30_000;
+const MAX_OUTPUT_LINES = 200;
+const START_TIMEOUT_MS = 30_000;
 
-/** Starts a node script and waits for the line that says that it listens. */
+/**
+ * Starts a Node.js script and waits until its output reports that it listens.
+ */
 export async function startChild(
   name: string,
   script: string,
@@ -32,18 +34,22 @@
   await new Promise<void>((resolve, reject) => {
     const timer = setTimeout(() => {
       child.kill('SIGKILL');
-      reject(new Error(`${name} did not start: ${output.join('\n')}`));
-    }, START_LIMIT_MS);
+      reject(new Error(`${name} did not listen in time: ${output.join('\n')}`));
+    }, START_TIMEOUT_MS);
     readLines(child, (line) => {
       output.push(line);
-      if (output.length > KEPT_LINES) output.shift();
+      if (output.length > MAX_OUTPUT_LINES) output.shift();
       if (!/listen(s|ing)/.test(line)) return;
       clearTimeout(timer);
       resolve();
     });
     void exited.then((code) => {
       clearTimeout(timer);
-      reject(new Error(`${name} ended with ${code}: ${output.join('\n')}`));
+      reject(
+        new Error(
+          `${name} exited with ${code} before it listened: ${output.join('\n')}`,
+        ),
+      );
     });
   });
   return {
--- a/packages-private/localstack/src/freePort.ts
+++ b/packages-private/localstack/src/freePort.ts
@@ -1,27 +1,29 @@
 import {createServer} from 'node:net';
 
 /**
- * Ports below the range that the system gives to outgoing connections: a port
- * from that range may be taken by one before its process listens there.
+ * Below the ephemeral port range: an outgoing connection could take a port of
+ * that range before the process that it was meant for listens on it.
  */
 const FIRST_PORT = 10_000;
-const BLOCK_PORTS = 100;
-const BLOCKS = 200;
+const PORTS_PER_BLOCK = 100;
+const BLOCK_COUNT = 200;
 
-/** Each process that starts stacks hands out a block of its own. */
-const blockStart = FIRST_PORT + (process.pid % BLOCKS) * BLOCK_PORTS;
-let next = 0;
+/**
+ * Each process that starts stacks uses its own block, chosen by its process id.
+ */
+const blockStart = FIRST_PORT + (process.pid % BLOCK_COUNT) * PORTS_PER_BLOCK;
+let nextOffset = 0;
 
-/** A port of the loopback interface that nothing listens on now. */
+/** Finds a port of the loopback interface that nothing listens on. */
 export async function freePort(): Promise<number> {
-  for (let tries = 0; tries < BLOCK_PORTS; tries++) {
-    const port = blockStart + (next++ % BLOCK_PORTS);
+  for (let attempt = 0; attempt < PORTS_PER_BLOCK; attempt++) {
+    const port = blockStart + (nextOffset++ % PORTS_PER_BLOCK);
     if (await isFree(port)) return port;
   }
-  throw new Error(`no free port from ${blockStart}`);
+  throw new Error(`no free port in the block that starts at ${blockStart}`);
 }
 
-/** True when nothing listens on a port of the loopback interface. */
+/** Whether nothing listens on this port of the loopback interface. */
 export function isFree(port: number): Promise<boolean> {
   return new Promise((resolve) => {
     const server = createServer();
--- a/packages-private/localstack/src/index.ts
+++ b/packages-private/localstack/src/index.ts
@@ -1,8 +1,8 @@
 export {postBooking, streamGeneration} from './callers.js';
 export type {
   BookingAnswer,
-  BookingAsk,
-  GenerationAsk,
+  BookingRequestOptions,
+  GenerationRequestOptions,
   StreamedAnswer,
 } from './callers.js';
 export type {Child} from './childProcess.js';
--- a/packages-private/localstack/src/localStack.ts
+++ b/packages-private/localstack/src/localStack.ts
@@ -17,10 +17,10 @@
 const HOST = '127.0.0.1';
 const LINK_KEY = 'local-link-key-0123456789';
 
-/** Operators' key of a local stack; it protects nothing. */
+/** Operator key of every local stack; not a secret. */
 export const LOCAL_OPERATOR_KEY = 'local-operator-key-0123456789';
 
-/** API key of an organisation of a local stack. */
+/** Returns the API key of an organisation in a local stack. */
 export function localApiKey(organisationId: string): string {
   return `key-${organisationId}`;
 }
@@ -30,7 +30,7 @@
   return createHash('sha256').update(key).digest('hex');
 }
 
-/** Further settings of one process, over the defaults of a local stack. */
+/** Settings of one process that override the defaults of a local stack. */
 export type ExtraSettings = Readonly<Record<string, unknown>>;
 
 export interface StackProcess {
@@ -45,7 +45,7 @@
   readonly endpoint: Child;
 }
 
-interface SidecarPlan {
+interface SidecarSpec {
   readonly instanceId: string;
   readonly service: string;
   readonly zone: string;
@@ -55,16 +55,21 @@
   readonly extra: ExtraSettings;
 }
 
-/** Separate processes on loopback: stand-ins, sidecars and entries. */
+/**
+ * Runs stand-ins, sidecars and entries as separate processes on the loopback
+ * interface.
+ */
 export class LocalStack {
   private readonly children = new Set<Child>();
   private readonly folder = mkdtempSync(join(tmpdir(), 'lilacledge-'));
-  private readonly plans = new Map<string, SidecarPlan>();
+  private readonly sidecarSpecs = new Map<string, SidecarSpec>();
   private members: Member[] = [];
   private isStopped = false;
   platformUrl = '';
 
-  /** Starts the platform stand-in; everything else needs it. */
+  /**
+   * Starts the platform stand-in. Call it first: all other processes need it.
+   */
   async startPlatform(): Promise<void> {
     const port = await freePort();
     await this.spawnStandin('platform', 'platform', port, []);
@@ -86,7 +91,7 @@
       [JSON.stringify(constants)],
     );
     const endpointUrl = `http://${HOST}:${port}`;
-    return this.startPlanned(endpoint, {
+    return this.startSidecar(endpoint, {
       instanceId,
       service,
       zone,
@@ -110,7 +115,7 @@
       port,
       [],
     );
-    return this.startPlanned(endpoint, {
+    return this.startSidecar(endpoint, {
       instanceId,
       service,
       zone,
@@ -121,7 +126,7 @@
     });
   }
 
-  /** Starts an engine stand-in alone; resolves with its address. */
+  /** Starts an engine stand-in without a sidecar. */
   async startEngine(
     name: string,
     constants: Partial<EngineConstants>,
@@ -133,7 +138,9 @@
     return {url: `http://${HOST}:${port}`, child};
   }
 
-  /** Starts a sidecar before an engine that others may share. */
+  /**
+   * Starts a sidecar for a running engine, which several sidecars may share.
+   */
   async startSidecarAt(
     instanceId: string,
     service: string,
@@ -141,7 +148,7 @@
     engine: {readonly url: string; readonly child: Child},
     extra: ExtraSettings = {},
   ): Promise<SidecarProcess> {
-    return this.startPlanned(engine.child, {
+    return this.startSidecar(engine.child, {
       instanceId,
       service,
       zone,
@@ -152,9 +159,9 @@
     });
   }
 
-  /** Starts a sidecar again, at its old address and before its old endpoint. */
+  /** Restarts a sidecar at the same address and for the same endpoint. */
   async restartSidecar(instanceId: string): Promise<Child> {
-    return this.spawnSidecar(this.plans.get(instanceId)!);
+    return this.spawnSidecar(this.sidecarSpecs.get(instanceId)!);
   }
 
   async startEntry(
@@ -176,7 +183,7 @@
     return {instanceId, port, url: `http://${HOST}:${port}`, child};
   }
 
-  /** Publishes the membership list, after a change to one of its rows. */
+  /** Marks a member as leaving in the published membership list. */
   async setLeaving(instanceId: string): Promise<void> {
     this.members = this.members.map((member) =>
       member.instanceId === instanceId ? {...member, leaving: true} : member,
@@ -191,7 +198,9 @@
     await this.publishMembers();
   }
 
-  /** Brings about a fault of the platform. */
+  /**
+   * Sends faults or an action to the control endpoint of the platform stand-in.
+   */
   async controlPlatform(body: unknown): Promise<void> {
     await postJson(`${this.platformUrl}/control`, body);
   }
@@ -210,7 +219,7 @@
     return createClient(OperatorService, transport);
   }
 
-  /** Ends every process that this stack has started. */
+  /** Kills every process of this stack and deletes its settings files. */
   async stop(): Promise<void> {
     this.isStopped = true;
     for (const child of this.children) {
@@ -221,30 +230,30 @@
     rmSync(this.folder, {recursive: true, force: true});
   }
 
-  /** Processes of this stack that have not ended. */
+  /** Number of processes of this stack that have not exited. */
   get runningCount(): number {
     return this.children.size;
   }
 
-  /** Resolves when every process that was ever started has ended. */
+  /** Resolves when all processes that are running now have exited. */
   async ended(): Promise<void> {
     await Promise.all([...this.children].map((child) => child.exited));
   }
 
-  private async startPlanned(
+  private async startSidecar(
     endpoint: Child,
-    plan: SidecarPlan,
+    spec: SidecarSpec,
   ): Promise<SidecarProcess> {
-    const {instanceId, service, zone, port, endpointUrl} = plan;
-    this.plans.set(instanceId, plan);
-    const child = await this.spawnSidecar(plan);
+    const {instanceId, service, zone, port, endpointUrl} = spec;
+    this.sidecarSpecs.set(instanceId, spec);
+    const child = await this.spawnSidecar(spec);
     await this.addMember(instanceId, 'sidecar', service, port, zone);
     const url = `http://${HOST}:${port}`;
     return {instanceId, port, url, child, endpointUrl, endpoint};
   }
 
-  private spawnSidecar(plan: SidecarPlan): Promise<Child> {
-    const {instanceId, service, zone, kind, port, endpointUrl, extra} = plan;
+  private spawnSidecar(spec: SidecarSpec): Promise<Child> {
+    const {instanceId, service, zone, kind, port, endpointUrl, extra} = spec;
     return this.spawnDaemon('sidecar', instanceId, {
       role: 'sidecar',
       ...this.commonSettings(instanceId, zone, port),
@@ -281,7 +290,7 @@
     const file = join(this.folder, `${instanceId}.jsonc`);
     writeFileSync(file, JSON.stringify(settings, null, 2));
     const script = distFile('lilacledge', 'bundle/lilacledged.mjs');
-    return this.keep(
+    return this.track(
       await startChild(instanceId, script, [role, '--config', file]),
     );
   }
@@ -293,13 +302,14 @@
     args: readonly string[],
   ): Promise<Child> {
     const script = distFile('@lilacledge/standins', 'bin/standin.js');
-    return this.keep(
+    return this.track(
       await startChild(name, script, [kind, String(port), ...args]),
     );
   }
 
-  private keep(child: Child): Child {
-    // One that was started beside a failing one comes after the stop.
+  private track(child: Child): Child {
+    // When another process failed to start, the stack may have been stopped
+    // while this one was still starting.
     if (this.isStopped) child.signal('SIGKILL');
     this.children.add(child);
     void child.exited.then(() => this.children.delete(child));
@@ -328,7 +338,7 @@
   }
 }
 
-/** Posts a JSON body and drops the answer. */
+/** Posts a JSON body and discards the answer. */
 export async function postJson(url: string, body: unknown): Promise<void> {
   const response = await request(url, {
     method: 'POST',
--- a/packages-private/localstack/src/waitFor.ts
+++ b/packages-private/localstack/src/waitFor.ts
@@ -1,21 +1,21 @@
 const POLL_MS = 20;
 
-/** Polls until `read` gives a value; fails after `limitMs`. */
+/** Polls `read` until it returns a value; throws after `timeoutMs`. */
 export async function waitFor<T>(
   what: string,
   read: () => Promise<T | undefined> | T | undefined,
-  limitMs = 20_000,
+  timeoutMs = 20_000,
 ): Promise<T> {
-  const deadlineMs = performance.now() + limitMs;
+  const deadlineMs = performance.now() + timeoutMs;
   for (;;) {
     const value = await Promise.resolve(read());
     if (value !== undefined) return value;
-    if (performance.now() > deadlineMs) throw new Error(`no ${what}`);
+    if (performance.now() > deadlineMs) throw new Error(`timed out: ${what}`);
     await new Promise((resolve) => setTimeout(resolve, POLL_MS));
   }
 }
 
-/** Waits until an HTTP path answers 200. */
+/** Waits until a GET of the URL answers with status 200. */
 export async function waitForOk(url: string): Promise<void> {
   await waitFor(`200 from ${url}`, async () => {
     const response = await fetch(url).catch(() => undefined);
