--- a/packages-private/measure/src/bin/bench.ts
+++ b/packages-private/measure/src/bin/bench.ts
@@ -5,16 +5,16 @@
   startLocalFleet,
 } from '../processes/localFleet.js';
 import type {LocalFleet} from '../processes/localFleet.js';
-import {scrape} from '../processes/scrape.js';
+import {scrapeUsage} from '../processes/scrape.js';
 import {runStreams} from '../processes/streamLoad.js';
 import type {StreamTimes} from '../processes/streamLoad.js';
 
-const STREAMS = [1, 100, 1_000];
+const STREAM_COUNTS = [1, 100, 1_000];
 const OUTPUT_TOKENS = 100;
 const ROUNDS = 3;
 
-/** One way to the engine, at one number of streams. */
-interface Row {
+/** Median latencies of one load run, either direct or through lilacledge. */
+interface LatencyMedians {
   readonly streams: number;
   readonly firstTokenMs: number;
   readonly perTokenMs: number;
@@ -25,7 +25,10 @@
   return sorted[Math.floor(sorted.length / 2)]!;
 }
 
-function toRow(streams: number, times: readonly StreamTimes[]): Row {
+function computeMedians(
+  streams: number,
+  times: readonly StreamTimes[],
+): LatencyMedians {
   return {
     streams,
     firstTokenMs: median(times.map(({firstTokenMs}) => firstTokenMs)),
@@ -38,11 +41,12 @@
   };
 }
 
-async function play(
+/** Runs the streams once and returns the medians of their latencies. */
+async function runLoad(
   fleet: LocalFleet,
   isDirect: boolean,
   streams: number,
-): Promise<Row> {
+): Promise<LatencyMedians> {
   const times = await runStreams({
     url: isDirect ? fleet.engineUrl : fleet.entries[0]!.url,
     isDirect,
@@ -51,36 +55,45 @@
     organisation: 'organisation-1',
     model: FLEET_MODEL,
   });
-  return toRow(streams, times);
+  return computeMedians(streams, times);
 }
 
-/** Direct, through the product, and direct again: the last shows the noise. */
-async function compare(fleet: LocalFleet, streams: number): Promise<string> {
-  const rows: Array<readonly [Row, Row, Row]> = [];
+/**
+ * Runs the load directly at the engine, through lilacledge, and directly again;
+ * the second direct run shows the noise. Returns one row of the table.
+ */
+async function compareRuns(
+  fleet: LocalFleet,
+  streams: number,
+): Promise<string> {
+  const measurements: Array<
+    readonly [LatencyMedians, LatencyMedians, LatencyMedians]
+  > = [];
   for (let round = 0; round < ROUNDS; round++) {
-    rows.push([
-      await play(fleet, true, streams),
-      await play(fleet, false, streams),
-      await play(fleet, true, streams),
+    measurements.push([
+      await runLoad(fleet, true, streams),
+      await runLoad(fleet, false, streams),
+      await runLoad(fleet, true, streams),
     ]);
   }
-  const of = (index: 0 | 1 | 2, field: 'firstTokenMs' | 'perTokenMs') =>
-    median(rows.map((row) => row[index][field]));
+  const medianOf = (index: 0 | 1 | 2, field: 'firstTokenMs' | 'perTokenMs') =>
+    median(measurements.map((row) => row[index][field]));
   const cells = (['firstTokenMs', 'perTokenMs'] as const).map((field) => {
-    const direct = of(0, field);
-    const ratio = of(1, field) / direct;
-    const noise = of(2, field) / direct;
+    const direct = medianOf(0, field);
+    const ratio = medianOf(1, field) / direct;
+    const noise = medianOf(2, field) / direct;
     return `${direct.toFixed(2)} ms direct, x${ratio.toFixed(2)} through (noise x${noise.toFixed(2)})`;
   });
   return `| ${streams} | ${cells.join(' | ')} |`;
 }
 
-async function tokensPerCore(fleet: LocalFleet): Promise<string> {
+/** Measures how many tokens one core of an entry and of a sidecar carries. */
+async function measureTokensPerCore(fleet: LocalFleet): Promise<string> {
   const streams = 400;
   const urls = [fleet.entries[0]!.url, fleet.sidecars[0]!.url];
-  const before = await Promise.all(urls.map(scrape));
-  await play(fleet, false, streams);
-  const after = await Promise.all(urls.map(scrape));
+  const before = await Promise.all(urls.map(scrapeUsage));
+  await runLoad(fleet, false, streams);
+  const after = await Promise.all(urls.map(scrapeUsage));
   const rates = urls.map((_, index) => {
     const cpuS = after[index]!.cpuS - before[index]!.cpuS;
     return ((streams * OUTPUT_TOKENS) / cpuS).toFixed(0);
@@ -95,18 +108,18 @@
   constants: FAST_ENGINE,
 });
 try {
-  await play(fleet, false, 50);
+  await runLoad(fleet, false, 50);
   const print = (line: string) => process.stdout.write(`${line}\n`);
   print('| streams | time to first token | time of a token |');
   print('| --- | --- | --- |');
-  for (const streams of STREAMS) print(await compare(fleet, streams));
+  for (const streams of STREAM_COUNTS) print(await compareRuns(fleet, streams));
   print('');
-  print(await tokensPerCore(fleet));
+  print(await measureTokensPerCore(fleet));
   for (const [role, url] of [
     ['entry', fleet.entries[0]!.url],
     ['sidecar', fleet.sidecars[0]!.url],
   ] as const) {
-    const {residentBytes} = await scrape(url);
+    const {residentBytes} = await scrapeUsage(url);
     print(
       `Resident after it, ${role}: ${(residentBytes / 2 ** 20).toFixed(0)} MB.`,
     );
--- a/packages-private/measure/src/bin/decisions.ts
+++ b/packages-private/measure/src/bin/decisions.ts
@@ -12,25 +12,29 @@
 import {build} from 'hdr-histogram-js';
 
 const ROUNDS = 20_000;
-const WARM_ROUNDS = 2_000;
-const NANOS = 1_000_000;
+const WARM_UP_ROUNDS = 2_000;
+const NANOS_PER_MS = 1_000_000;
 
 const random = createRandom(1);
 
-function time(name: string, decide: () => void): void {
-  for (let round = 0; round < WARM_ROUNDS; round++) decide();
+/** Prints the p50 and p99 duration of an operation as a row of the table. */
+function benchmark(name: string, operation: () => void): void {
+  for (let round = 0; round < WARM_UP_ROUNDS; round++) operation();
   const histogram = build();
   for (let round = 0; round < ROUNDS; round++) {
     const startedMs = performance.now();
-    decide();
-    histogram.recordValue((performance.now() - startedMs) * NANOS);
+    operation();
+    histogram.recordValue((performance.now() - startedMs) * NANOS_PER_MS);
   }
-  const at = (percentile: number): string =>
+  const percentileUs = (percentile: number): string =>
     (histogram.getValueAtPercentile(percentile) / 1_000).toFixed(1);
-  process.stdout.write(`| ${name} | ${at(50)} | ${at(99)} |\n`);
+  process.stdout.write(
+    `| ${name} | ${percentileUs(50)} | ${percentileUs(99)} |\n`,
+  );
 }
 
-function toCandidate(index: number): Candidate {
+/** Draws an endpoint with random load. */
+function drawCandidate(index: number): Candidate {
   return {
     id: `endpoint-${index}`,
     isSameZone: index % 3 === 0,
@@ -45,7 +49,8 @@
   };
 }
 
-function toClaim(estimator: LengthEstimator): MemoryClaim {
+/** Draws the memory claim of a generation that has made random progress. */
+function drawClaim(estimator: LengthEstimator): MemoryClaim {
   const produced = Math.floor(random() * 900);
   return {
     heldTokens: 300 + produced,
@@ -58,26 +63,26 @@
 process.stdout.write('| decision | p50 µs | p99 µs |\n| --- | --- | --- |\n');
 for (const count of [20, 200]) {
   const candidates = Array.from({length: count}, (_, index) =>
-    toCandidate(index),
+    drawCandidate(index),
   );
   const chooser = new EndpointChooser(random);
   const request = {promptTokens: 200, expectedTokens: 256};
-  time(`endpoint among ${count}`, () => {
+  benchmark(`endpoint among ${count}`, () => {
     chooser.choose(RouteKind.PREDICTED, candidates, request);
   });
 }
 for (const running of [20, 200]) {
   const estimator = new LengthEstimator();
-  const claims = Array.from({length: running}, () => toClaim(estimator));
-  const candidate = toClaim(estimator);
+  const claims = Array.from({length: running}, () => drawClaim(estimator));
+  const candidate = drawClaim(estimator);
   const capacity = {memoryTokens: 1_000_000, maxBatch: 256};
   const rule = {kind: 'expected', overflowChance: 0.25} as const;
-  time(`admission beside ${running} running`, () => {
+  benchmark(`admission beside ${running} running`, () => {
     decideAdmission(rule, capacity, claims, candidate);
   });
 }
 
-const REPORT: Message = {
+const REPORT_MESSAGE: Message = {
   type: 'report',
   load: {
     state: 'serving',
@@ -90,15 +95,18 @@
     maxBatch: 48,
   },
 };
-const TOKENS: Message = {
+const TOKENS_MESSAGE: Message = {
   type: 'tokens',
   callId: 123_456,
   offset: 2_345,
   texts: [' token'],
 };
-for (const message of [REPORT, TOKENS]) {
+for (const message of [REPORT_MESSAGE, TOKENS_MESSAGE]) {
   const {length} = encodeMessage(message);
-  time(`${message.type}, ${length} bytes, written, read and checked`, () => {
-    decodeMessage(encodeMessage(message));
-  });
+  benchmark(
+    `${message.type}, ${length} bytes, written, read and checked`,
+    () => {
+      decodeMessage(encodeMessage(message));
+    },
+  );
 }
--- a/packages-private/measure/src/bin/measure.ts
+++ b/packages-private/measure/src/bin/measure.ts
@@ -2,13 +2,13 @@
 import {Command} from 'commander';
 import {generateTrace, SHAPES} from '../generateTrace.js';
 import type {ShapeName, WorkloadName} from '../generateTrace.js';
-import {capacityPerMs} from '../measureCapacity.js';
+import {computeCapacityPerMs} from '../measureCapacity.js';
 import {FaultName, measurePolicy} from '../measurePolicy.js';
 import type {PolicyMeasures} from '../measurePolicy.js';
 import {POLICIES} from '../policies.js';
 import type {TraceRequest} from '../trace.js';
 
-interface Options {
+interface CliOptions {
   readonly workload: WorkloadName;
   readonly trace: ShapeName;
   readonly seed: string;
@@ -18,7 +18,7 @@
   readonly json?: boolean;
 }
 
-const SAMPLE_SEED = 4_242;
+const CAPACITY_SAMPLE_SEED = 4_242;
 
 const program = new Command('measure')
   .description('plays a synthetic trace under several policies, side by side')
@@ -31,13 +31,13 @@
   .option('--json', 'print JSON');
 
 async function main(): Promise<void> {
-  const options = program.parse().opts<Options>();
+  const options = program.parse().opts<CliOptions>();
   const trace = createTrace(options);
-  const chosen = POLICIES.filter(
+  const selectedPolicies = POLICIES.filter(
     ({name}) => options.policy === undefined || options.policy === name,
   );
   const results: PolicyMeasures[] = [];
-  for (const policy of chosen) {
+  for (const policy of selectedPolicies) {
     const result = await measurePolicy(policy, trace, {
       entries: Number(options.entries),
       seed: Number(options.seed),
@@ -52,16 +52,17 @@
   if (results.some((result) => result.violations > 0)) process.exitCode = 1;
 }
 
-function createTrace(options: Options): TraceRequest[] {
+/** Generates the trace, with rates relative to the capacity of the engines. */
+function createTrace(options: CliOptions): TraceRequest[] {
   const {workload} = options;
   const sample = generateTrace(
     workload,
     [{durationMs: 400_000, load: 1}],
     0.02,
-    SAMPLE_SEED,
+    CAPACITY_SAMPLE_SEED,
   );
   const phases = SHAPES[options.trace];
-  const rate = capacityPerMs(sample);
+  const rate = computeCapacityPerMs(sample);
   const trace = generateTrace(workload, phases, rate, Number(options.seed));
   if (options.json !== true) {
     process.stdout.write(
@@ -85,20 +86,22 @@
   'fairness',
   'real s',
 ] as const;
-const WIDTHS = [18, 30, 26, 22, 12, 10, 19, 9, 8, 6] as const;
-const HEADER = COLUMNS.map((name, i) => name.padEnd(WIDTHS[i]!)).join(' ');
+const COLUMN_WIDTHS = [18, 30, 26, 22, 12, 10, 19, 9, 8, 6] as const;
+const HEADER = COLUMNS.map((name, i) => name.padEnd(COLUMN_WIDTHS[i]!)).join(
+  ' ',
+);
 
 function printResult(result: PolicyMeasures): void {
   const {short, long} = result.classes;
   const cells = [
     result.policy,
-    seconds(
+    formatSeconds(
       short.stallMs.p50,
       short.stallMs.p95,
       short.stallMs.p99,
       short.stallMs.max,
     ),
-    seconds(long.stallMs.p50, long.stallMs.p99, long.stallMs.max),
+    formatSeconds(long.stallMs.p50, long.stallMs.p99, long.stallMs.max),
     [result.gapMs.p99, result.gapMs.p999, result.gapMs.max]
       .map((ms) => ms.toFixed(0))
       .join(' / '),
@@ -113,11 +116,11 @@
     result.fairness.toFixed(2),
     result.realS.toFixed(1),
   ];
-  const line = cells.map((cell, i) => cell.padEnd(WIDTHS[i]!)).join(' ');
+  const line = cells.map((cell, i) => cell.padEnd(COLUMN_WIDTHS[i]!)).join(' ');
   process.stdout.write(`${line}\n`);
 }
 
-function seconds(...values: number[]): string {
+function formatSeconds(...values: number[]): string {
   return values.map((ms) => (ms / 1_000).toFixed(2)).join(' / ');
 }
 
--- a/packages-private/measure/src/bin/traces.ts
+++ b/packages-private/measure/src/bin/traces.ts
@@ -2,27 +2,30 @@
 import {writeFileSync} from 'node:fs';
 import {generateTrace, SHAPES} from '../generateTrace.js';
 import type {WorkloadName} from '../generateTrace.js';
-import {capacityPerMs} from '../measureCapacity.js';
-import {toTraceLine} from '../trace.js';
+import {computeCapacityPerMs} from '../measureCapacity.js';
+import {formatTraceLine} from '../trace.js';
 
-const SAMPLE_SEED = 4_242;
+const CAPACITY_SAMPLE_SEED = 4_242;
 const REPLAY_SEED = 31;
-const FOLDER = new URL('../../traces/', import.meta.url);
+const TRACES_FOLDER = new URL('../../traces/', import.meta.url);
 
-/** Writes the synthetic traces of the repository; the same bytes every time. */
+// Writes the synthetic traces of the repository. The output is deterministic.
 for (const workload of ['bayanihan', 'sutolinen'] as WorkloadName[]) {
   const sample = generateTrace(
     workload,
     [{durationMs: 400_000, load: 1}],
     0.02,
-    SAMPLE_SEED,
+    CAPACITY_SAMPLE_SEED,
   );
   const trace = generateTrace(
     workload,
     SHAPES.replay,
-    capacityPerMs(sample),
+    computeCapacityPerMs(sample),
     REPLAY_SEED,
   );
-  const text = trace.map(toTraceLine).join('\n');
-  writeFileSync(new URL(`${workload}-replay.jsonl`, FOLDER), `${text}\n`);
+  const text = trace.map(formatTraceLine).join('\n');
+  writeFileSync(
+    new URL(`${workload}-replay.jsonl`, TRACES_FOLDER),
+    `${text}\n`,
+  );
 }
--- a/packages-private/measure/src/chaos/runChaos.ts
+++ b/packages-private/measure/src/chaos/runChaos.ts
@@ -36,30 +36,30 @@
 
 const ZONE = 'zone-a';
 const ORGANISATION = 'crew';
-const CALLERS = 12;
-const BOOKERS = 6;
-const FAULT_PAUSE_MS = 2_500;
-const STOP_MS = 6_500;
-const OUTAGE_MS = 4_000;
+const GENERATION_CALLERS = 12;
+const BOOKING_CALLERS = 6;
+const FAULT_INTERVAL_MS = 2_500;
+const SUSPENSION_MS = 6_500;
+const PLATFORM_OUTAGE_MS = 4_000;
 
-/** Runs real processes under random faults, and judges what came of it. */
+/** Runs real processes under random faults and checks the guarantees to callers. */
 export async function runChaos(options: ChaosOptions): Promise<ChaosVerdict> {
   const stack = new LocalStack();
   try {
-    return await new Chaos(stack, options).run();
+    return await new ChaosRun(stack, options).run();
   } finally {
     await stack.stop();
   }
 }
 
-class Chaos {
+class ChaosRun {
   private readonly random: Random;
   private readonly ledger = new ChaosLedger();
   private entries: StackProcess[] = [];
   private sidecars: SidecarProcess[] = [];
-  private entriesMade = 0;
+  private startedEntryCount = 0;
   private faults = 0;
-  private isOver = false;
+  private isStopping = false;
 
   constructor(
     private readonly stack: LocalStack,
@@ -70,35 +70,42 @@
 
   async run(): Promise<ChaosVerdict> {
     await this.start();
-    const work = [
-      ...Array.from({length: CALLERS}, (_, index) => this.callerTask(index)),
-      ...Array.from({length: BOOKERS}, () => this.bookerTask()),
+    const callerTasks = [
+      ...Array.from({length: GENERATION_CALLERS}, (_, index) =>
+        this.runGenerationCaller(index),
+      ),
+      ...Array.from({length: BOOKING_CALLERS}, () => this.runBookingCaller()),
     ];
     const untilMs = systemClock.nowMs() + this.options.durationMs;
     while (systemClock.nowMs() < untilMs) {
-      await sleep(systemClock, FAULT_PAUSE_MS);
-      await this.bringFault();
+      await sleep(systemClock, FAULT_INTERVAL_MS);
+      await this.injectFault();
     }
-    this.isOver = true;
-    await Promise.all(work);
+    this.isStopping = true;
+    await Promise.all(callerTasks);
     const violations = await this.ledger.judge(this.sidecars);
     return {
       seed: this.options.seed,
       faults: this.faults,
-      ...this.ledger.counts(),
+      ...this.ledger.summarise(),
       violations,
     };
   }
 
   private async start(): Promise<void> {
     await this.stack.startPlatform();
-    const extra = {slotRoundMs: 300, keySkewMs: 0};
+    const serviceSettings = {slotRoundMs: 300, keySkewMs: 0};
     this.sidecars = await Promise.all([
       ...[1, 2, 3].map((index) =>
         this.stack.startEngineSidecar(`engine-${index}`, 'llm', ZONE),
       ),
       ...[1, 2].map((index) =>
-        this.stack.startPlainSidecar(`home-${index}`, 'desk', ZONE, extra),
+        this.stack.startPlainSidecar(
+          `home-${index}`,
+          'desk',
+          ZONE,
+          serviceSettings,
+        ),
       ),
     ]);
     await this.addEntry();
@@ -119,25 +126,28 @@
   }
 
   private async addEntry(): Promise<void> {
-    const id = `entry-${++this.entriesMade}`;
+    const id = `entry-${++this.startedEntryCount}`;
     this.entries.push(await this.stack.startEntry(id, ZONE));
   }
 
-  /** Asks for one generation after another, and comes back when cut. */
-  private async callerTask(index: number): Promise<void> {
-    while (!this.isOver) {
+  /**
+   * Requests one generation after another and resumes those that are cut. The
+   * first eight callers request short generations, the others longer ones.
+   */
+  private async runGenerationCaller(index: number): Promise<void> {
+    while (!this.isStopping) {
       const tokens = 5 + Math.floor(this.random() * (index < 8 ? 80 : 600));
-      await this.oneGeneration(tokens);
+      await this.runGeneration(tokens);
     }
   }
 
-  private async oneGeneration(tokens: number): Promise<void> {
-    const mark = this.ledger.openGeneration(tokens);
-    const prompt = `${mark} [[output=${tokens}]]`;
+  private async runGeneration(tokens: number): Promise<void> {
+    const generationId = this.ledger.recordGeneration(tokens);
+    const prompt = `${generationId} [[output=${tokens}]]`;
     let lastEventId: string | undefined;
     for (let attempt = 0; attempt < 6; attempt++) {
       const answer = await streamGeneration({
-        url: this.pick(this.entries).url,
+        url: this.pickRandom(this.entries).url,
         organisation: ORGANISATION,
         model: 'model-1',
         prompt,
@@ -145,23 +155,23 @@
       }).catch(() => undefined);
       if (answer !== undefined) {
         lastEventId = answer.eventIds.at(-1) ?? lastEventId;
-        this.ledger.addTokens(mark, answer);
+        this.ledger.addTokens(generationId, answer);
         if (!answer.isBroken) return;
       }
-      // With nothing received there is nothing to resume: a new request.
-      if (lastEventId === undefined) return this.ledger.abandon(mark);
+      // Nothing was received, so nothing can be resumed: start a new request.
+      if (lastEventId === undefined) return this.ledger.abandon(generationId);
       await sleep(systemClock, 200);
     }
   }
 
-  /** Books under a new key each time, and asks again when left in doubt. */
-  private async bookerTask(): Promise<void> {
-    while (!this.isOver) {
+  /** Makes bookings, each under a new key; retries those that are not confirmed. */
+  private async runBookingCaller(): Promise<void> {
+    while (!this.isStopping) {
       const key = toMintedKey(Date.now(), randomBytes(10));
-      this.ledger.openBooking(key);
+      this.ledger.recordBooking(key);
       for (let attempt = 0; attempt < 3; attempt++) {
         const answer = await postBooking({
-          url: this.pick(this.entries).url,
+          url: this.pickRandom(this.entries).url,
           organisation: ORGANISATION,
           service: 'desk',
           body: {key},
@@ -176,25 +186,26 @@
     }
   }
 
-  private async bringFault(): Promise<void> {
+  /** Injects one fault, chosen at random, and prints it. */
+  private async injectFault(): Promise<void> {
     this.faults++;
-    const kinds = [
+    const faultActions = [
       () => this.killEntry(),
       () => this.killSidecar(),
-      () => this.stopSidecar(),
-      () => this.leave(),
-      () => this.platformOut(),
-      () => this.platformLosesAnswers(),
-      () => this.leasesLapse(),
-      () => this.engineBreaks(),
-      () => this.serviceDrops(),
+      () => this.suspendSidecar(),
+      () => this.stopSidecarGracefully(),
+      () => this.interruptPlatform(),
+      () => this.dropPlatformAnswers(),
+      () => this.expireLeases(),
+      () => this.breakEngineStreams(),
+      () => this.dropServiceConnections(),
     ];
-    const line = await this.pick(kinds)();
+    const line = await this.pickRandom(faultActions)();
     this.options.print(`fault ${this.faults}: ${line}`);
   }
 
   private async killEntry(): Promise<string> {
-    const entry = this.pick(this.entries);
+    const entry = this.pickRandom(this.entries);
     this.entries = this.entries.filter((other) => other !== entry);
     entry.child.signal('SIGKILL');
     await this.stack.removeMember(entry.instanceId);
@@ -203,55 +214,55 @@
   }
 
   private async killSidecar(): Promise<string> {
-    const sidecar = this.pick(this.sidecars);
+    const sidecar = this.pickRandom(this.sidecars);
     sidecar.child.signal('SIGKILL');
     await sidecar.child.exited;
-    await this.restart(sidecar);
+    await this.restartSidecar(sidecar);
     return `SIGKILL and restart ${sidecar.instanceId}`;
   }
 
-  private async stopSidecar(): Promise<string> {
-    const sidecar = this.pick(this.sidecars);
+  private async suspendSidecar(): Promise<string> {
+    const sidecar = this.pickRandom(this.sidecars);
     sidecar.child.signal('SIGSTOP');
-    await sleep(systemClock, STOP_MS);
+    await sleep(systemClock, SUSPENSION_MS);
     sidecar.child.signal('SIGCONT');
-    return `SIGSTOP for ${STOP_MS} ms ${sidecar.instanceId}`;
+    return `SIGSTOP for ${SUSPENSION_MS} ms ${sidecar.instanceId}`;
   }
 
-  private async leave(): Promise<string> {
-    const sidecar = this.pick(this.sidecars);
+  private async stopSidecarGracefully(): Promise<string> {
+    const sidecar = this.pickRandom(this.sidecars);
     sidecar.child.signal('SIGTERM');
     const code = await sidecar.child.exited;
-    await this.restart(sidecar);
+    await this.restartSidecar(sidecar);
     if (code !== 0) this.ledger.note(`${sidecar.instanceId} left with ${code}`);
     return `SIGTERM and restart ${sidecar.instanceId}`;
   }
 
-  private async restart(sidecar: SidecarProcess): Promise<void> {
+  private async restartSidecar(sidecar: SidecarProcess): Promise<void> {
     const child = await this.stack.restartSidecar(sidecar.instanceId);
     this.sidecars = this.sidecars.map((other) =>
       other === sidecar ? {...sidecar, child} : other,
     );
   }
 
-  private async platformOut(): Promise<string> {
+  private async interruptPlatform(): Promise<string> {
     await this.stack.controlPlatform({isDown: true});
-    await sleep(systemClock, OUTAGE_MS);
+    await sleep(systemClock, PLATFORM_OUTAGE_MS);
     await this.stack.controlPlatform({isDown: false});
-    return `platform out for ${OUTAGE_MS} ms`;
+    return `platform out for ${PLATFORM_OUTAGE_MS} ms`;
   }
 
-  private async platformLosesAnswers(): Promise<string> {
+  private async dropPlatformAnswers(): Promise<string> {
     await this.stack.controlPlatform({lostAnswers: 20});
     return 'platform loses 20 answers after the write';
   }
 
-  private async leasesLapse(): Promise<string> {
+  private async expireLeases(): Promise<string> {
     await this.stack.controlPlatform({action: 'lapseLeases'});
     return 'all leases lapse';
   }
 
-  private async engineBreaks(): Promise<string> {
+  private async breakEngineStreams(): Promise<string> {
     const engine = this.sidecars.find(({instanceId}) =>
       instanceId.startsWith('engine'),
     )!;
@@ -261,18 +272,18 @@
     return `${engine.instanceId} breaks streams off`;
   }
 
-  private async serviceDrops(): Promise<string> {
-    const home = this.pick(
+  private async dropServiceConnections(): Promise<string> {
+    const serviceSidecar = this.pickRandom(
       this.sidecars.filter(({instanceId}) => instanceId.startsWith('home')),
     );
     const drop = this.random() < 0.5 ? 'before' : 'after';
-    await postJson(`${home.endpointUrl}/control`, {drop});
+    await postJson(`${serviceSidecar.endpointUrl}/control`, {drop});
     await sleep(systemClock, 500);
-    await postJson(`${home.endpointUrl}/control`, {drop: 'never'});
-    return `${home.instanceId} drops connections ${drop} the run`;
+    await postJson(`${serviceSidecar.endpointUrl}/control`, {drop: 'never'});
+    return `${serviceSidecar.instanceId} drops connections ${drop} the run`;
   }
 
-  private pick<T>(items: readonly T[]): T {
+  private pickRandom<T>(items: readonly T[]): T {
     return items[Math.floor(this.random() * items.length)]!;
   }
 }
--- a/packages-private/measure/src/generateTrace.ts
+++ b/packages-private/measure/src/generateTrace.ts
@@ -3,90 +3,92 @@
 import {RequestClass} from './trace.js';
 import type {TraceRequest} from './trace.js';
 
-/** A kind of work of one deployment. */
-interface Work {
+/** Distribution of one kind of request in a workload. */
+interface RequestProfile {
   readonly class: RequestClass;
-  /** Share of the requests. */
+  /** Share of all requests, 0 to 1. */
   readonly share: number;
   readonly promptTokens: number;
-  readonly medianOutput: number;
-  /** Spread of the logarithm of the output length. */
-  readonly spread: number;
+  readonly medianOutputTokens: number;
+  /** Standard deviation of the logarithm of the output length. */
+  readonly outputLogStdDev: number;
   readonly maxTokens: number;
-  readonly prefixes: number;
+  /** Number of distinct prefixes that prompts start with. */
+  readonly prefixCount: number;
 }
 
-/** An organisation with its share of the requests. */
+/** An organisation and its share of all requests. */
 interface Organisation {
   readonly id: string;
   readonly share: number;
 }
 
 interface Workload {
-  readonly works: readonly Work[];
+  readonly profiles: readonly RequestProfile[];
   readonly organisations: readonly Organisation[];
 }
 
 const BAYANIHAN: Workload = {
-  works: [
+  profiles: [
     {
       class: RequestClass.SHORT,
       share: 0.8,
       promptTokens: 160,
-      medianOutput: 40,
-      spread: 0.7,
+      medianOutputTokens: 40,
+      outputLogStdDev: 0.7,
       maxTokens: 2_048,
-      prefixes: 6,
+      prefixCount: 6,
     },
     {
       class: RequestClass.LONG,
       share: 0.2,
       promptTokens: 480,
-      medianOutput: 700,
-      spread: 0.9,
+      medianOutputTokens: 700,
+      outputLogStdDev: 0.9,
       maxTokens: 8_192,
-      prefixes: 12,
+      prefixCount: 12,
     },
   ],
   organisations: [
     {id: 'procurement-desk', share: 0.55},
-    ...spread(9, 'yard', 0.45),
+    ...createOrganisations(9, 'yard', 0.45),
   ],
 };
 
 const SUTOLINEN: Workload = {
-  works: [
+  profiles: [
     {
       class: RequestClass.SHORT,
       share: 0.7,
       promptTokens: 96,
-      medianOutput: 30,
-      spread: 0.6,
+      medianOutputTokens: 30,
+      outputLogStdDev: 0.6,
       maxTokens: 1_024,
-      prefixes: 4,
+      prefixCount: 4,
     },
     {
       class: RequestClass.LONG,
       share: 0.3,
       promptTokens: 640,
-      medianOutput: 900,
-      spread: 0.7,
+      medianOutputTokens: 900,
+      outputLogStdDev: 0.7,
       maxTokens: 8_192,
-      prefixes: 10,
+      prefixCount: 10,
     },
   ],
-  organisations: spread(10, 'house', 1),
+  organisations: createOrganisations(10, 'house', 1),
 };
 
 const WORKLOADS = {bayanihan: BAYANIHAN, sutolinen: SUTOLINEN} as const;
 export type WorkloadName = keyof typeof WORKLOADS;
 
-/** Load over time, as a multiple of what the engines carry. */
+/** A period of constant load, as a multiple of the capacity of the engines. */
 export interface LoadPhase {
   readonly durationMs: number;
   readonly load: number;
 }
 
+/** Load shapes of traces, by name. */
 export const SHAPES = {
   calm: [{durationMs: 90_000, load: 0.5}],
   peak: [
@@ -117,14 +119,15 @@
 } as const satisfies Record<string, readonly LoadPhase[]>;
 export type ShapeName = keyof typeof SHAPES;
 
-/** The chance of a tail output many times longer than its median. */
-const TAIL_CHANCE = 0.02;
-const TAIL_FACTOR = 6;
+/** Probability that an output is `TAIL_LENGTH_FACTOR` times longer than drawn. */
+const TAIL_PROBABILITY = 0.02;
+const TAIL_LENGTH_FACTOR = 6;
 
 /**
- * Makes a synthetic trace. `capacityPerMs` is the number of requests of this
- * workload that the engines carry in a millisecond (measured, see
- * `measureCapacity`). Lengths drift over the trace: nothing learned stays true.
+ * Generates a synthetic trace. `capacityPerMs` is the number of requests of this
+ * workload that the engines can serve per millisecond (see
+ * `computeCapacityPerMs`). Output lengths drift over the trace, so that learned
+ * lengths become outdated.
  */
 export function generateTrace(
   name: WorkloadName,
@@ -138,11 +141,11 @@
   const requests: TraceRequest[] = [];
   let startMs = 0;
   for (const {durationMs, load} of phases) {
-    const rate = capacityPerMs * load;
-    let atMs = startMs + exponential(random, rate);
+    const ratePerMs = capacityPerMs * load;
+    let atMs = startMs + drawExponential(random, ratePerMs);
     while (atMs < startMs + durationMs) {
       requests.push(drawRequest(workload, random, atMs, atMs / totalMs));
-      atMs += exponential(random, rate);
+      atMs += drawExponential(random, ratePerMs);
     }
     startMs += durationMs;
   }
@@ -155,48 +158,59 @@
   atMs: number,
   progress: number,
 ): TraceRequest {
-  const work = pick(workload.works, random);
-  const organisation = pick(workload.organisations, random);
-  const drift = 0.75 + 0.5 * progress;
-  const tail = random() < TAIL_CHANCE ? TAIL_FACTOR : 1;
+  const profile = pickByShare(workload.profiles, random);
+  const organisation = pickByShare(workload.organisations, random);
+  const driftFactor = 0.75 + 0.5 * progress;
+  const tailFactor = random() < TAIL_PROBABILITY ? TAIL_LENGTH_FACTOR : 1;
   const length =
-    work.medianOutput * drift * tail * Math.exp(work.spread * normal(random));
-  const prefix = Math.floor(random() * work.prefixes);
+    profile.medianOutputTokens *
+    driftFactor *
+    tailFactor *
+    Math.exp(profile.outputLogStdDev * drawStandardNormal(random));
+  const prefix = Math.floor(random() * profile.prefixCount);
   return {
     atMs: Math.round(atMs * 100) / 100,
     organisation: organisation.id,
-    class: work.class,
-    promptTokens: Math.round(work.promptTokens * (0.6 + 0.8 * random())),
-    outputTokens: Math.max(2, Math.min(work.maxTokens, Math.round(length))),
-    maxTokens: work.maxTokens,
-    prefix: `${work.class}-${prefix}`,
+    class: profile.class,
+    promptTokens: Math.round(profile.promptTokens * (0.6 + 0.8 * random())),
+    outputTokens: Math.max(2, Math.min(profile.maxTokens, Math.round(length))),
+    maxTokens: profile.maxTokens,
+    prefix: `${profile.class}-${prefix}`,
   };
 }
 
-function spread(count: number, name: string, share: number): Organisation[] {
+/** Creates organisations that divide the share equally. */
+function createOrganisations(
+  count: number,
+  name: string,
+  share: number,
+): Organisation[] {
   return Array.from({length: count}, (_, index) => ({
     id: `${name}-${index + 1}`,
     share: share / count,
   }));
 }
 
-function pick<T extends {readonly share: number}>(
+/** Picks an item with a probability equal to its share. */
+function pickByShare<T extends {readonly share: number}>(
   items: readonly T[],
   random: Random,
 ): T {
-  let left = random();
+  let remainingShare = random();
   for (const item of items) {
-    left -= item.share;
-    if (left < 0) return item;
+    remainingShare -= item.share;
+    if (remainingShare < 0) return item;
   }
   return items.at(-1)!;
 }
 
-function exponential(random: Random, rate: number): number {
-  return -Math.log(1 - random()) / rate;
+/** Draws the time to the next arrival of a Poisson process of this rate. */
+function drawExponential(random: Random, ratePerMs: number): number {
+  return -Math.log(1 - random()) / ratePerMs;
 }
 
-function normal(random: Random): number {
+/** Draws from the standard normal distribution (Box-Muller transform). */
+function drawStandardNormal(random: Random): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random()));
   return radius * Math.cos(2 * Math.PI * random());
 }
--- a/packages-private/measure/src/measureCapacity.ts
+++ b/packages-private/measure/src/measureCapacity.ts
@@ -1,33 +1,34 @@
 import {DEFAULT_ENGINE} from '@lilacledge/standins';
 import type {EngineConstants} from '@lilacledge/standins';
-import {ENGINES} from './fleet.js';
+import {ENGINE_COUNT} from './fleet.js';
 import type {TraceRequest} from './trace.js';
 
 /**
- * Requests of a workload that the engines carry in a millisecond: the rate at
- * which one engine works through a sample of them with its batch or its memory
- * full, whichever binds first, times the number of engines.
+ * Computes how many requests of a workload the engines can serve per millisecond:
+ * the rate at which one engine completes requests of the sample while its batch or
+ * its memory is full, whichever limit is lower, times the number of engines.
  */
-export function capacityPerMs(
+export function computeCapacityPerMs(
   sample: readonly TraceRequest[],
   constants: EngineConstants = DEFAULT_ENGINE,
 ): number {
-  const meanOutput = mean(sample.map((request) => request.outputTokens));
-  const meanPrompt = mean(sample.map((request) => request.promptTokens));
-  // A request holds its prompt from the start and its output as it grows.
+  const meanOutputTokens = mean(sample.map((request) => request.outputTokens));
+  const meanPromptTokens = mean(sample.map((request) => request.promptTokens));
+  // A request holds memory for its whole prompt and for the output so far.
   const heldTokenSteps = mean(
     sample.map(
       ({promptTokens, outputTokens}) =>
         outputTokens * (promptTokens + outputTokens / 2),
     ),
   );
-  const meanHeld = heldTokenSteps / meanOutput;
-  const byMemory = constants.memoryTokens / meanHeld;
-  const batch = Math.min(constants.maxBatch, byMemory);
-  const stepMs = constants.stepBaseMs + constants.stepPerSequenceMs * batch;
-  const decodeMs = (meanOutput * stepMs) / batch;
-  const promptMs = meanPrompt / constants.promptTokensPerMs;
-  return ENGINES / (decodeMs + promptMs);
+  const meanHeldTokens = heldTokenSteps / meanOutputTokens;
+  const memoryBatchLimit = constants.memoryTokens / meanHeldTokens;
+  const effectiveBatch = Math.min(constants.maxBatch, memoryBatchLimit);
+  const stepMs =
+    constants.stepBaseMs + constants.stepPerSequenceMs * effectiveBatch;
+  const decodeMs = (meanOutputTokens * stepMs) / effectiveBatch;
+  const prefillMs = meanPromptTokens / constants.promptTokensPerMs;
+  return ENGINE_COUNT / (decodeMs + prefillMs);
 }
 
 function mean(values: readonly number[]): number {
--- a/packages-private/measure/src/measurePolicy.ts
+++ b/packages-private/measure/src/measurePolicy.ts
@@ -7,7 +7,7 @@
 import {RequestClass} from './trace.js';
 import type {TraceRequest} from './trace.js';
 
-/** Faults that a measurement can be put under. */
+/** Faults that a measurement can inject into `engine-1`. */
 export const FaultName = {
   NONE: 'none',
   KILLED: 'killed',
@@ -30,19 +30,21 @@
   readonly max: number;
 }
 
-/** What the users judge by, for one class of requests. */
+/** Results of one class of requests, by the criteria of the users. */
 export interface ClassMeasures {
   readonly requests: number;
   readonly completed: number;
+  /** Ended incomplete without any output. */
   readonly refused: number;
+  /** Ended incomplete after some output. */
   readonly broken: number;
-  /** All time in which a caller waited with no output for over the limit. */
+  /** Time to the first token plus all later gaps above `STALL_THRESHOLD_MS`. */
   readonly stallMs: Quantiles;
   readonly firstTokenMs: Quantiles;
   readonly gapMs: Quantiles;
 }
 
-/** One policy on one trace. */
+/** Results of one policy on one trace. */
 export interface PolicyMeasures {
   readonly policy: string;
   readonly kind: NamedPolicy['kind'];
@@ -50,72 +52,80 @@
   readonly gapMs: Quantiles;
   readonly preemptionsPer1000: number;
   readonly recomputedTokens: number;
-  /** Output tokens of completed requests per second of the trace. */
+  /** Output tokens of completed requests per second of `makespanMs`. */
   readonly goodputPerS: number;
-  /** Time to the last completion, from the trace's start. */
+  /** Time from the start of the trace to the end of the last request. */
   readonly makespanMs: number;
-  /** Smallest over largest mean stall of the organisations' short requests. */
+  /** Lowest mean stall of an organisation over the highest; short requests only. */
   readonly fairness: number;
+  /** Number of violations that `checkRun` found. */
   readonly violations: number;
+  /** Wall-clock time that the measurement took. */
   readonly realS: number;
 }
 
-/** A gap above this is a stall; below it the stream is flowing. */
-const FLOWING_MS = 250;
+/** A gap between two tokens above this is a stall. */
+const STALL_THRESHOLD_MS = 250;
 const FAULT_AT_MS = 40_000;
 const SLOW_FACTOR = 4;
-const DRAIN_LIMIT_MS = 900_000;
-const HISTOGRAM = {
+const MAX_DRAIN_MS = 900_000;
+const HISTOGRAM_OPTIONS = {
   lowestDiscernibleValue: 1,
   highestTrackableValue: 3_600_000_000,
   numberOfSignificantValueDigits: 3,
 } as const;
-const MICROS = 1_000;
+const MICROS_PER_MS = 1_000;
 
-/** Plays a trace through the real entries and sidecars under one policy. */
+/** Replays a trace through the real entries and sidecars under one policy. */
 export async function measurePolicy(
-  named: NamedPolicy,
+  namedPolicy: NamedPolicy,
   trace: readonly TraceRequest[],
   options: MeasureOptions,
 ): Promise<PolicyMeasures> {
   const startedMs = performance.now();
-  const organisations = [...new Set(trace.map((row) => row.organisation))];
+  const organisations = [
+    ...new Set(trace.map((request) => request.organisation)),
+  ];
   const rig = await createFleet({
     entries: options.entries,
     seed: options.seed,
     organisations,
-    policy: named.policy,
+    policy: namedPolicy.policy,
   });
-  const originMs = rig.clock.nowMs();
+  const traceStartMs = rig.clock.nowMs();
   scheduleFault(rig, options.fault);
-  const asked = schedule(rig, trace);
+  const replayed = scheduleRequests(rig, trace);
   await rig.clock.advance(trace.at(-1)!.atMs + 1);
   await rig.clock.advanceUntil(
-    () => asked.every(({caller}) => caller!.end.kind !== 'open'),
-    DRAIN_LIMIT_MS,
+    () => replayed.every(({caller}) => caller!.end.kind !== 'open'),
+    MAX_DRAIN_MS,
   );
-  return summarise(rig, named, asked, originMs, startedMs);
+  return summarise(rig, namedPolicy, replayed, traceStartMs, startedMs);
 }
 
-interface Asked {
-  readonly row: TraceRequest;
+/** A request of the trace and, from its arrival on, its caller. */
+interface ReplayedRequest {
+  readonly request: TraceRequest;
   caller: Caller | undefined;
 }
 
-function schedule(rig: Rig, trace: readonly TraceRequest[]): Asked[] {
+function scheduleRequests(
+  rig: Rig,
+  trace: readonly TraceRequest[],
+): ReplayedRequest[] {
   const entries = [...rig.entries.keys()];
-  return trace.map((row, index) => {
-    const asked: Asked = {row, caller: undefined};
-    rig.clock.after(row.atMs, () => {
-      asked.caller = rig.ask(entries[index % entries.length]!, {
-        organisation: row.organisation,
-        outputTokens: row.outputTokens,
-        promptTokens: row.promptTokens,
-        maxTokens: row.maxTokens,
-        prefix: row.prefix.padEnd((row.promptTokens / 2) * 4, '-'),
+  return trace.map((request, index) => {
+    const replayed: ReplayedRequest = {request, caller: undefined};
+    rig.clock.after(request.atMs, () => {
+      replayed.caller = rig.ask(entries[index % entries.length]!, {
+        organisation: request.organisation,
+        outputTokens: request.outputTokens,
+        promptTokens: request.promptTokens,
+        maxTokens: request.maxTokens,
+        prefix: request.prefix.padEnd((request.promptTokens / 2) * 4, '-'),
       });
     });
-    return asked;
+    return replayed;
   });
 }
 
@@ -137,61 +147,67 @@
 
 function summarise(
   rig: Rig,
-  named: NamedPolicy,
-  asked: readonly Asked[],
-  originMs: number,
+  namedPolicy: NamedPolicy,
+  replayed: readonly ReplayedRequest[],
+  traceStartMs: number,
   startedMs: number,
 ): PolicyMeasures {
   const engines = [...rig.sidecars.values()].map(({engine}) => engine!);
-  const sum = (of: (counters: (typeof engines)[0]['counters']) => number) =>
-    engines.reduce((total, engine) => total + of(engine.counters), 0);
-  const completed = asked.filter((one) => one.caller!.end.kind === 'complete');
-  const tokens = completed.reduce((n, one) => n + one.row.outputTokens, 0);
+  const sumCounters = (
+    select: (counters: (typeof engines)[0]['counters']) => number,
+  ) => engines.reduce((total, engine) => total + select(engine.counters), 0);
+  const completed = replayed.filter(
+    (one) => one.caller!.end.kind === 'complete',
+  );
+  const tokens = completed.reduce((n, one) => n + one.request.outputTokens, 0);
   const makespanMs =
-    Math.max(...asked.map((one) => one.caller!.endedMs)) - originMs;
-  const gaps = build(HISTOGRAM);
-  for (const one of asked) recordGaps(gaps, one.caller!);
+    Math.max(...replayed.map((one) => one.caller!.endedMs)) - traceStartMs;
+  const gaps = build(HISTOGRAM_OPTIONS);
+  for (const one of replayed) recordGaps(gaps, one.caller!);
   return {
-    policy: named.name,
-    kind: named.kind,
+    policy: namedPolicy.name,
+    kind: namedPolicy.kind,
     classes: {
-      short: measureClass(asked, RequestClass.SHORT),
-      long: measureClass(asked, RequestClass.LONG),
+      short: measureClass(replayed, RequestClass.SHORT),
+      long: measureClass(replayed, RequestClass.LONG),
     },
     gapMs: toQuantiles(gaps),
-    preemptionsPer1000: (sum((c) => c.preemptions) * 1_000) / asked.length,
-    recomputedTokens: sum((c) => c.recomputedTokens),
+    preemptionsPer1000:
+      (sumCounters((c) => c.preemptions) * 1_000) / replayed.length,
+    recomputedTokens: sumCounters((c) => c.recomputedTokens),
     goodputPerS: (tokens * 1_000) / makespanMs,
     makespanMs,
-    fairness: measureFairness(asked),
+    fairness: measureFairness(replayed),
     violations: checkRun(rig).length,
     realS: (performance.now() - startedMs) / 1_000,
   };
 }
 
 function measureClass(
-  asked: readonly Asked[],
-  wanted: RequestClass,
+  replayed: readonly ReplayedRequest[],
+  requestClass: RequestClass,
 ): ClassMeasures {
-  const rows = asked.filter((one) => one.row.class === wanted);
-  const stall = build(HISTOGRAM);
-  const first = build(HISTOGRAM);
-  const gaps = build(HISTOGRAM);
+  const matching = replayed.filter((one) => one.request.class === requestClass);
+  const stalls = build(HISTOGRAM_OPTIONS);
+  const firstTokens = build(HISTOGRAM_OPTIONS);
+  const gaps = build(HISTOGRAM_OPTIONS);
   const counts = {completed: 0, refused: 0, broken: 0};
-  for (const {caller} of rows) {
-    stall.recordValue(Math.max(1, stallOf(caller!) * MICROS));
+  for (const {caller} of matching) {
+    stalls.recordValue(Math.max(1, totalStallMs(caller!) * MICROS_PER_MS));
     recordGaps(gaps, caller!);
     const firstMs = caller!.tokenMs[0];
     if (firstMs !== undefined) {
-      first.recordValue(Math.max(1, (firstMs - caller!.arrivedMs) * MICROS));
+      firstTokens.recordValue(
+        Math.max(1, (firstMs - caller!.arrivedMs) * MICROS_PER_MS),
+      );
     }
     counts[outcomeOf(caller!)]++;
   }
   return {
-    requests: rows.length,
+    requests: matching.length,
     ...counts,
-    stallMs: toQuantiles(stall),
-    firstTokenMs: toQuantiles(first),
+    stallMs: toQuantiles(stalls),
+    firstTokenMs: toQuantiles(firstTokens),
     gapMs: toQuantiles(gaps),
   };
 }
@@ -201,13 +217,13 @@
   return caller.texts.length === 0 ? 'refused' : 'broken';
 }
 
-/** The wait for the first token, and every later gap that is a stall. */
-function stallOf(caller: Caller): number {
+/** The wait for the first token plus every later gap that is a stall. */
+function totalStallMs(caller: Caller): number {
   const firstMs = caller.tokenMs[0] ?? caller.endedMs;
   let stallMs = firstMs - caller.arrivedMs;
   for (let index = 1; index < caller.tokenMs.length; index++) {
     const gapMs = caller.tokenMs[index]! - caller.tokenMs[index - 1]!;
-    if (gapMs > FLOWING_MS) stallMs += gapMs;
+    if (gapMs > STALL_THRESHOLD_MS) stallMs += gapMs;
   }
   return stallMs;
 }
@@ -215,17 +231,17 @@
 function recordGaps(histogram: Histogram, caller: Caller): void {
   for (let index = 1; index < caller.tokenMs.length; index++) {
     const gapMs = caller.tokenMs[index]! - caller.tokenMs[index - 1]!;
-    histogram.recordValue(Math.max(1, gapMs * MICROS));
+    histogram.recordValue(Math.max(1, gapMs * MICROS_PER_MS));
   }
 }
 
-function measureFairness(asked: readonly Asked[]): number {
+function measureFairness(replayed: readonly ReplayedRequest[]): number {
   const byOrganisation = new Map<string, number[]>();
-  for (const {row, caller} of asked) {
-    if (row.class !== RequestClass.SHORT) continue;
-    const stalls = byOrganisation.get(row.organisation) ?? [];
-    stalls.push(stallOf(caller!));
-    byOrganisation.set(row.organisation, stalls);
+  for (const {request, caller} of replayed) {
+    if (request.class !== RequestClass.SHORT) continue;
+    const stalls = byOrganisation.get(request.organisation) ?? [];
+    stalls.push(totalStallMs(caller!));
+    byOrganisation.set(request.organisation, stalls);
   }
   const means = [...byOrganisation.values()].map(
     (stalls) => stalls.reduce((a, b) => a + b, 0) / stalls.length,
@@ -234,13 +250,13 @@
 }
 
 function toQuantiles(histogram: Histogram): Quantiles {
-  const at = (percentile: number): number =>
-    histogram.getValueAtPercentile(percentile) / MICROS;
+  const percentileMs = (percentile: number): number =>
+    histogram.getValueAtPercentile(percentile) / MICROS_PER_MS;
   return {
-    p50: at(50),
-    p95: at(95),
-    p99: at(99),
-    p999: at(99.9),
-    max: histogram.maxValue / MICROS,
+    p50: percentileMs(50),
+    p95: percentileMs(95),
+    p99: percentileMs(99),
+    p999: percentileMs(99.9),
+    max: histogram.maxValue / MICROS_PER_MS,
   };
 }
--- a/packages-private/measure/src/policies.ts
+++ b/packages-private/measure/src/policies.ts
@@ -1,6 +1,6 @@
 import type {PolicySettings} from '@lilacledge/config';
 
-/** A policy under comparison: changes to the settings of a service. */
+/** A policy to compare, as changes to the default settings of a service. */
 export interface NamedPolicy {
   readonly name: string;
   readonly kind: 'product' | 'baseline' | 'ablation';
@@ -9,7 +9,7 @@
 
 const FREE_FIFO = {admission: 'free', queue: 'firstInFirstOut'} as const;
 
-/** What is measured side by side on one trace. */
+/** The policies that are compared on the same trace. */
 export const POLICIES: readonly NamedPolicy[] = [
   {name: 'lilacledge', kind: 'product', policy: {}},
   {
--- a/packages-private/measure/src/processes/configSlopes.ts
+++ b/packages-private/measure/src/processes/configSlopes.ts
@@ -8,23 +8,24 @@
   startLocalFleet,
 } from './localFleet.js';
 import type {LocalFleet} from './localFleet.js';
-import {scrape} from './scrape.js';
+import {scrapeUsage} from './scrape.js';
 
-const OBSERVED_MS = 10_000;
-const CHANGES = 5;
+const OBSERVATION_MS = 10_000;
+const CHANGE_COUNT = 5;
 
-/** Gauges of links are brought up to date in less than this time. */
+/** Upper bound on the delay until link gauges are up to date. */
 const GAUGE_DELAY_MS = 2_500;
 
-/** What a configuration costs, against its number of organisations. */
+/** Costs of a configuration as functions of its number of organisations. */
 export interface OrganisationSlopes {
   readonly entryResidentBytes: Slope;
   /** Control bytes that an entry sends for one small change, per link. */
   readonly bytesPerChange: Slope;
+  /** Time until a change is active at all processes. */
   readonly inForceMs: Slope;
 }
 
-/** What processes cost the platform, and how fast a change spreads. */
+/** Platform load and time to activate a change, against the number of entries. */
 export interface ProcessSlopes {
   readonly readsPerS: Slope;
   readonly writesPerS: Slope;
@@ -42,7 +43,7 @@
   readonly bytes: number;
 }
 
-/** What a fleet of one size costs the platform. */
+/** Platform load by a fleet of one size, and its time to activate a change. */
 interface ProcessCosts {
   readonly readsPerS: number;
   readonly writesPerS: number;
@@ -60,7 +61,7 @@
   readonly membershipReads: number;
 }
 
-/** Memory, bytes a change and time in force against organisations. */
+/** Measures memory, bytes per change and activation time against organisations. */
 export async function measureOrganisations(
   sizes: readonly number[],
 ): Promise<OrganisationSlopes> {
@@ -73,20 +74,20 @@
       constants: FAST_ENGINE,
     });
     try {
-      // Not the entry that answers the operator: its share is the call's.
+      // Not the first entry: its figures would include the operator call.
       const {url} = fleet.entries[1]!;
       await sleep(systemClock, GAUGE_DELAY_MS);
-      const before = await scrape(url);
-      const inForceMs = await meanTimeInForce(fleet, organisations);
+      const before = await scrapeUsage(url);
+      const inForceMs = await measureActivationMs(fleet, organisations);
       await sleep(systemClock, GAUGE_DELAY_MS);
-      const after = await scrape(url);
+      const after = await scrapeUsage(url);
       samples.push({
         organisations,
         inForceMs,
         residentBytes: after.residentBytes,
         bytes:
           (after.controlBytes - before.controlBytes) /
-          CHANGES /
+          CHANGE_COUNT /
           fleet.sidecars.length,
       });
     } finally {
@@ -102,7 +103,7 @@
   };
 }
 
-/** Calls of the platform and time in force against the number of entries. */
+/** Measures calls of the platform and activation time against the number of entries. */
 export async function measureProcesses(
   sizes: readonly number[],
 ): Promise<ProcessSlopes> {
@@ -115,7 +116,7 @@
       constants: FAST_ENGINE,
     });
     try {
-      samples.push({entries, ...(await observe(fleet))});
+      samples.push({entries, ...(await measureProcessCosts(fleet))});
     } finally {
       await fleet.stack.stop();
     }
@@ -132,57 +133,61 @@
   };
 }
 
-async function observe(fleet: LocalFleet): Promise<ProcessCosts> {
-  const before = await counters(fleet);
-  await sleep(systemClock, OBSERVED_MS);
-  const after = await counters(fleet);
+async function measureProcessCosts(fleet: LocalFleet): Promise<ProcessCosts> {
+  const before = await fetchPlatformCounters(fleet);
+  await sleep(systemClock, OBSERVATION_MS);
+  const after = await fetchPlatformCounters(fleet);
   const perS = (field: keyof PlatformCounters): number =>
-    ((after[field] - before[field]) * 1_000) / OBSERVED_MS;
-  const inForceMs = await meanTimeInForce(fleet, 10);
+    ((after[field] - before[field]) * 1_000) / OBSERVATION_MS;
+  const inForceMs = await measureActivationMs(fleet, 10);
   return {
     readsPerS: perS('reads') + perS('watches'),
     writesPerS: perS('writes'),
     waitingWatches: after.waitingWatches,
     membershipReadsPerS: perS('membershipReads'),
     inForceMs,
-    callsAfterOutage: await callsAfterOutage(fleet),
+    callsAfterOutage: await countCallsAfterOutage(fleet),
   };
 }
 
-async function callsAfterOutage(fleet: LocalFleet): Promise<number> {
+/** Counts the reads and watches that follow an outage of the platform. */
+async function countCallsAfterOutage(fleet: LocalFleet): Promise<number> {
   await fleet.stack.controlPlatform({isDown: true});
-  await sleep(systemClock, OBSERVED_MS);
-  const before = await counters(fleet);
+  await sleep(systemClock, OBSERVATION_MS);
+  const before = await fetchPlatformCounters(fleet);
   await fleet.stack.controlPlatform({isDown: false});
-  await sleep(systemClock, OBSERVED_MS);
-  const after = await counters(fleet);
+  await sleep(systemClock, OBSERVATION_MS);
+  const after = await fetchPlatformCounters(fleet);
   return after.reads + after.watches - before.reads - before.watches;
 }
 
-async function meanTimeInForce(
+/** Mean time until a change is active at all entries and sidecars. */
+async function measureActivationMs(
   fleet: LocalFleet,
   organisations: number,
 ): Promise<number> {
   const urls = [...fleet.entries, ...fleet.sidecars].map(({url}) => url);
-  let revision = (await scrape(urls[0]!)).revision;
+  let revision = (await scrapeUsage(urls[0]!)).revision;
   let sumMs = 0;
-  for (let change = 0; change < CHANGES; change++) {
+  for (let change = 0; change < CHANGE_COUNT; change++) {
     const startedMs = performance.now();
     revision = await applyOrganisations(fleet, organisations, revision);
-    await Promise.all(urls.map((url) => untilRevision(url, revision)));
+    await Promise.all(urls.map((url) => waitForRevision(url, revision)));
     sumMs += performance.now() - startedMs;
   }
-  return sumMs / CHANGES;
+  return sumMs / CHANGE_COUNT;
 }
 
-async function untilRevision(url: string, revision: number): Promise<void> {
-  await waitFor('revision in force', async () => {
-    const use = await scrape(url);
-    return use.revision >= revision ? true : undefined;
+async function waitForRevision(url: string, revision: number): Promise<void> {
+  await waitFor('active revision', async () => {
+    const usage = await scrapeUsage(url);
+    return usage.revision >= revision ? true : undefined;
   });
 }
 
-async function counters(fleet: LocalFleet): Promise<PlatformCounters> {
+async function fetchPlatformCounters(
+  fleet: LocalFleet,
+): Promise<PlatformCounters> {
   const response = await fetch(`${fleet.stack.platformUrl}/counters`);
   return (await response.json()) as PlatformCounters;
 }
--- a/packages-private/measure/src/processes/linkSlopes.ts
+++ b/packages-private/measure/src/processes/linkSlopes.ts
@@ -3,62 +3,62 @@
 import type {Point, Slope} from './fitSlope.js';
 import {FAST_ENGINE, startLocalFleet} from './localFleet.js';
 import type {LocalFleet} from './localFleet.js';
-import {meanOf, scrape} from './scrape.js';
-import type {ProcessUse} from './scrape.js';
+import {meanOf, scrapeUsage} from './scrape.js';
+import type {ProcessUsage} from './scrape.js';
 
-const OBSERVED_MS = 20_000;
+const OBSERVATION_MS = 20_000;
 
-/** What one process cost with that many idle links. */
-interface IdlePoint {
+/** Mean use of resources by one process with a number of idle links. */
+interface IdleSample {
   readonly links: number;
   readonly cpuShare: number;
   readonly controlBytesPerS: number;
   readonly residentBytes: number;
 }
 
-/** Costs of one role against the number of its idle links. */
+/** Costs of one role as functions of its number of idle links. */
 export interface IdleSlopes {
   readonly cpuShare: Slope;
   readonly controlBytesPerS: Slope;
   readonly residentBytes: Slope;
-  readonly points: readonly IdlePoint[];
+  readonly points: readonly IdleSample[];
 }
 
-/** Idle costs of an entry against its links to sidecars. */
+/** Measures the idle costs of an entry as functions of its links to sidecars. */
 export async function measureEntryLinks(
   sizes: readonly number[],
 ): Promise<IdleSlopes> {
-  const points: IdlePoint[] = [];
+  const points: IdleSample[] = [];
   for (const sidecars of sizes) {
     points.push(
-      await observeFleet({entries: 1, sidecars}, sidecars, (fleet) =>
+      await sampleIdleFleet({entries: 1, sidecars}, sidecars, (fleet) =>
         fleet.entries.map(({url}) => url),
       ),
     );
   }
-  return toSlopes(points);
+  return fitIdleSlopes(points);
 }
 
-/** Idle costs of a sidecar against its links to entries. */
+/** Measures the idle costs of a sidecar as functions of its links to entries. */
 export async function measureSidecarLinks(
   sizes: readonly number[],
 ): Promise<IdleSlopes> {
-  const points: IdlePoint[] = [];
+  const points: IdleSample[] = [];
   for (const entries of sizes) {
     points.push(
-      await observeFleet({entries, sidecars: 2}, entries, (fleet) =>
+      await sampleIdleFleet({entries, sidecars: 2}, entries, (fleet) =>
         fleet.sidecars.map(({url}) => url),
       ),
     );
   }
-  return toSlopes(points);
+  return fitIdleSlopes(points);
 }
 
-async function observeFleet(
+async function sampleIdleFleet(
   counts: {readonly entries: number; readonly sidecars: number},
   links: number,
   urlsOf: (fleet: LocalFleet) => string[],
-): Promise<IdlePoint> {
+): Promise<IdleSample> {
   const fleet = await startLocalFleet({
     ...counts,
     organisations: 10,
@@ -67,10 +67,10 @@
   try {
     await sleep(systemClock, 3_000);
     const before = await scrapeAll(urlsOf(fleet));
-    await sleep(systemClock, OBSERVED_MS);
+    await sleep(systemClock, OBSERVATION_MS);
     const after = await scrapeAll(urlsOf(fleet));
     const perS = (field: 'cpuS' | 'controlBytes'): number =>
-      ((meanOf(after, field) - meanOf(before, field)) * 1_000) / OBSERVED_MS;
+      ((meanOf(after, field) - meanOf(before, field)) * 1_000) / OBSERVATION_MS;
     return {
       links,
       cpuShare: perS('cpuS'),
@@ -82,11 +82,11 @@
   }
 }
 
-function scrapeAll(urls: readonly string[]): Promise<ProcessUse[]> {
-  return Promise.all(urls.map(scrape));
+function scrapeAll(urls: readonly string[]): Promise<ProcessUsage[]> {
+  return Promise.all(urls.map(scrapeUsage));
 }
 
-function toSlopes(points: readonly IdlePoint[]): IdleSlopes {
+function fitIdleSlopes(points: readonly IdleSample[]): IdleSlopes {
   const slopeOf = (
     field: 'cpuShare' | 'controlBytesPerS' | 'residentBytes',
   ): Slope =>
--- a/packages-private/measure/src/processes/localFleet.ts
+++ b/packages-private/measure/src/processes/localFleet.ts
@@ -7,7 +7,7 @@
 import type {SidecarProcess, StackProcess} from '@lilacledge/localstack';
 import type {EngineConstants} from '@lilacledge/standins';
 
-/** A fleet of real processes on loopback. */
+/** A fleet of real processes on loopback; all sidecars share one engine. */
 export interface LocalFleet {
   readonly stack: LocalStack;
   readonly entries: readonly StackProcess[];
@@ -22,10 +22,10 @@
   readonly constants: Partial<EngineConstants>;
 }
 
-/** Name of the one model of a local fleet. */
+/** Name of the only model that a local fleet serves. */
 export const FLEET_MODEL = 'model-1';
 
-/** An engine that costs almost nothing, to show what the product costs. */
+/** An engine of almost no cost, so that results show the cost of lilacledge. */
 export const FAST_ENGINE: Partial<EngineConstants> = {
   stepBaseMs: 20,
   stepPerSequenceMs: 0,
@@ -34,21 +34,22 @@
   maxBatch: 4_096,
 };
 
-const START_TOGETHER = 8;
+const START_GROUP_SIZE = 8;
 
+/** Starts all processes of a fleet and waits until its links are open. */
 export async function startLocalFleet(
   options: LocalFleetOptions,
 ): Promise<LocalFleet> {
   const stack = new LocalStack();
   try {
-    return await startAll(stack, options);
+    return await startProcesses(stack, options);
   } catch (error) {
     await stack.stop();
     throw error;
   }
 }
 
-async function startAll(
+async function startProcesses(
   stack: LocalStack,
   options: LocalFleetOptions,
 ): Promise<LocalFleet> {
@@ -62,11 +63,11 @@
   );
   const fleet = {stack, entries, sidecars, engineUrl: engine.url};
   await applyOrganisations(fleet, options.organisations, 0);
-  await waitUntilLinked(fleet);
+  await waitForLinks(fleet);
   return fleet;
 }
 
-/** Applies a configuration of that many organisations; returns its revision. */
+/** Applies a configuration with the given number of organisations; returns its revision. */
 export async function applyOrganisations(
   fleet: LocalFleet,
   organisations: number,
@@ -76,13 +77,13 @@
     writeId: `write-${baseRevision}-${organisations}`,
     author: 'measure',
     baseRevision: BigInt(baseRevision),
-    document: JSON.stringify(toConfig(organisations, baseRevision)),
+    document: JSON.stringify(createConfig(organisations, baseRevision)),
   });
   return Number(result.revision);
 }
 
 /** Waits until every entry has a link to every sidecar. */
-export async function waitUntilLinked(fleet: LocalFleet): Promise<void> {
+export async function waitForLinks(fleet: LocalFleet): Promise<void> {
   for (const entry of fleet.entries) {
     await waitForOk(`${entry.url}/readyz`);
     await waitFor(
@@ -97,27 +98,28 @@
   }
 }
 
-function toConfig(organisations: number, change: number): unknown {
+function createConfig(organisations: number, baseRevision: number): unknown {
   return {
     services: {llm: {kind: 'model', models: [FLEET_MODEL]}},
     organisations: Array.from({length: organisations}, (_, index) => ({
       id: `organisation-${index}`,
       apiKeySha256: [localApiKeyHash(`organisation-${index}`)],
-      // The first one differs in each revision, as in a small change.
-      priority: index === 0 ? change % 10 : 5,
+      // Only the first organisation changes between revisions: a small change.
+      priority: index === 0 ? baseRevision % 10 : 5,
       limits: {concurrent: 100_000, tokensPerMinute: 1_000_000_000},
     })),
     routes: [{organisations: ['*'], service: 'llm'}],
   };
 }
 
+/** Starts processes in groups, so that few of them start at the same time. */
 async function startInGroups<T>(
   count: number,
   start: (index: number) => Promise<T>,
 ): Promise<T[]> {
   const started: T[] = [];
-  for (let from = 0; from < count; from += START_TOGETHER) {
-    const size = Math.min(START_TOGETHER, count - from);
+  for (let from = 0; from < count; from += START_GROUP_SIZE) {
+    const size = Math.min(START_GROUP_SIZE, count - from);
     const group = Array.from({length: size}, (_, index) => start(from + index));
     started.push(...(await Promise.all(group)));
   }
--- a/packages-private/measure/src/processes/scrape.ts
+++ b/packages-private/measure/src/processes/scrape.ts
@@ -1,5 +1,5 @@
-/** What one process has used so far, read from its `/metrics`. */
-export interface ProcessUse {
+/** Resource usage and state of a process, read from its `/metrics`. */
+export interface ProcessUsage {
   readonly cpuS: number;
   readonly residentBytes: number;
   readonly controlBytes: number;
@@ -7,8 +7,8 @@
   readonly revision: number;
 }
 
-/** Reads the use of a process. */
-export async function scrape(url: string): Promise<ProcessUse> {
+/** Reads the usage of a process. */
+export async function scrapeUsage(url: string): Promise<ProcessUsage> {
   const text = await (await fetch(`${url}/metrics`)).text();
   const read = (name: string): number => {
     const line = text
@@ -27,10 +27,10 @@
   };
 }
 
-/** Mean of one field over several readings. */
+/** Mean of one field over several processes. */
 export function meanOf(
-  uses: readonly ProcessUse[],
-  field: keyof ProcessUse,
+  uses: readonly ProcessUsage[],
+  field: keyof ProcessUsage,
 ): number {
-  return uses.reduce((sum, use) => sum + use[field], 0) / uses.length;
+  return uses.reduce((sum, usage) => sum + usage[field], 0) / uses.length;
 }
--- a/packages-private/measure/src/processes/streamLoad.ts
+++ b/packages-private/measure/src/processes/streamLoad.ts
@@ -1,15 +1,16 @@
 import {localApiKey} from '@lilacledge/localstack';
 import {Agent, request} from 'undici';
 
-/** Times of one stream, for the benchmark. */
+/** Times of one stream, measured by its caller. */
 export interface StreamTimes {
   readonly firstTokenMs: number;
   readonly totalMs: number;
   readonly tokens: number;
 }
 
+/** Streams to open at one URL. */
 export interface StreamLoad {
-  /** Address of an entry, or of an engine for the direct path. */
+  /** URL of an entry, or of an engine if `isDirect`. */
   readonly url: string;
   readonly isDirect: boolean;
   readonly streams: number;
@@ -24,9 +25,9 @@
   bodyTimeout: 0,
 });
 
-const EVENT_END = 0x0a;
+const NEWLINE = 0x0a;
 
-/** Opens streams at once and reads each to its end. */
+/** Opens all streams at the same time and reads each to its end. */
 export async function runStreams(load: StreamLoad): Promise<StreamTimes[]> {
   const all = Array.from({length: load.streams}, (_, index) =>
     readStream(load, index),
@@ -61,16 +62,16 @@
   }
   let firstTokenMs = 0;
   let events = 0;
-  let last = 0;
+  let previousByte = 0;
   for await (const chunk of response.body as AsyncIterable<Buffer>) {
     if (firstTokenMs === 0) firstTokenMs = performance.now() - startedMs;
     for (const byte of chunk) {
-      if (byte === EVENT_END && last === EVENT_END) events++;
-      last = byte;
+      if (byte === NEWLINE && previousByte === NEWLINE) events++;
+      previousByte = byte;
     }
   }
-  // The last two events are the finish reason and the end mark.
+  // The last two events are the finish reason and `[DONE]`.
   const tokens = events - 2;
-  if (tokens !== load.outputTokens) throw new Error(`${tokens} tokens`);
+  if (tokens !== load.outputTokens) throw new Error(`token count is ${tokens}`);
   return {firstTokenMs, totalMs: performance.now() - startedMs, tokens};
 }
--- a/packages-private/measure/src/processes/streamSlopes.ts
+++ b/packages-private/measure/src/processes/streamSlopes.ts
@@ -2,30 +2,30 @@
 import {fitSlope} from './fitSlope.js';
 import type {Slope} from './fitSlope.js';
 import {FAST_ENGINE, FLEET_MODEL, startLocalFleet} from './localFleet.js';
-import {scrape} from './scrape.js';
+import {scrapeUsage} from './scrape.js';
 import {runStreams} from './streamLoad.js';
 
-const WARM_STREAMS = 50;
+const WARM_UP_STREAMS = 50;
 const OUTPUT_TOKENS = 150;
 const MID_STREAM_MS = 1_500;
-const MICROS = 1_000_000;
+const MICROS_PER_S = 1_000_000;
 
-/** Costs of one role against open streams. */
+/** Costs of one role as functions of its open streams. */
 export interface StreamSlopes {
   readonly role: 'entry' | 'sidecar';
-  /** Processor time of one token, from the slope over all tokens carried. */
+  /** Processor time against the number of tokens; the slope is the cost of a token. */
   readonly cpuUsPerToken: Slope;
   readonly residentBytesPerStream: Slope;
 }
 
-interface Sample {
+interface StreamSample {
   readonly streams: number;
   readonly tokens: number;
   readonly cpuUs: number;
   readonly residentBytes: number;
 }
 
-/** Processor time a token and memory a stream, at entry and sidecar. */
+/** Measures processor time per token and memory per stream of entry and sidecar. */
 export async function measureStreams(
   sizes: readonly number[],
 ): Promise<StreamSlopes[]> {
@@ -38,13 +38,16 @@
   try {
     const entryUrl = fleet.entries[0]!.url;
     const urls = [entryUrl, fleet.sidecars[0]!.url];
-    await load(entryUrl, WARM_STREAMS);
-    const samples: Sample[][] = [[], []];
+    await runLoad(entryUrl, WARM_UP_STREAMS);
+    const samples: StreamSample[][] = [[], []];
     for (const streams of sizes) {
-      const taken = await sampleLoad(entryUrl, urls, streams);
-      taken.forEach((sample, role) => samples[role]!.push(sample));
+      const roleSamples = await sampleLoad(entryUrl, urls, streams);
+      roleSamples.forEach((sample, role) => samples[role]!.push(sample));
     }
-    return [toSlopes('entry', samples[0]!), toSlopes('sidecar', samples[1]!)];
+    return [
+      fitStreamSlopes('entry', samples[0]!),
+      fitStreamSlopes('sidecar', samples[1]!),
+    ];
   } finally {
     await fleet.stack.stop();
   }
@@ -54,22 +57,22 @@
   entryUrl: string,
   urls: readonly string[],
   streams: number,
-): Promise<Sample[]> {
-  const before = await Promise.all(urls.map(scrape));
-  const running = load(entryUrl, streams);
+): Promise<StreamSample[]> {
+  const before = await Promise.all(urls.map(scrapeUsage));
+  const running = runLoad(entryUrl, streams);
   await sleep(systemClock, MID_STREAM_MS);
-  const during = await Promise.all(urls.map(scrape));
+  const during = await Promise.all(urls.map(scrapeUsage));
   await running;
-  const after = await Promise.all(urls.map(scrape));
+  const after = await Promise.all(urls.map(scrapeUsage));
   return urls.map((_, role) => ({
     streams,
     tokens: streams * OUTPUT_TOKENS,
-    cpuUs: (after[role]!.cpuS - before[role]!.cpuS) * MICROS,
+    cpuUs: (after[role]!.cpuS - before[role]!.cpuS) * MICROS_PER_S,
     residentBytes: during[role]!.residentBytes,
   }));
 }
 
-async function load(url: string, streams: number): Promise<void> {
+async function runLoad(url: string, streams: number): Promise<void> {
   await runStreams({
     url,
     isDirect: false,
@@ -80,9 +83,9 @@
   });
 }
 
-function toSlopes(
+function fitStreamSlopes(
   role: StreamSlopes['role'],
-  samples: readonly Sample[],
+  samples: readonly StreamSample[],
 ): StreamSlopes {
   return {
     role,
--- a/packages-private/measure/src/trace.ts
+++ b/packages-private/measure/src/trace.ts
@@ -1,28 +1,28 @@
-/** Class of a request, by what its caller waits for. */
+/** Class of a request, by the length of the output that its caller waits for. */
 export const RequestClass = {SHORT: 'short', LONG: 'long'} as const;
 export type RequestClass = (typeof RequestClass)[keyof typeof RequestClass];
 
 /** One request of a synthetic trace. */
 export interface TraceRequest {
-  /** Time of arrival, from the trace's start. */
+  /** Arrival time since the start of the trace. */
   readonly atMs: number;
   readonly organisation: string;
   readonly class: RequestClass;
   readonly promptTokens: number;
-  /** Known to the engine stand-in alone. */
+  /** Length of the output, which only the engine stand-in knows in advance. */
   readonly outputTokens: number;
-  /** The limit that the caller sets; loose, as callers' are. */
+  /** The caller's output limit, far above most outputs as with real callers. */
   readonly maxTokens: number;
   /** Requests with the same prefix share the start of their prompts. */
   readonly prefix: string;
 }
 
-/** One line of a trace file. */
-export function toTraceLine(request: TraceRequest): string {
+/** Formats a request as a line of a trace file. */
+export function formatTraceLine(request: TraceRequest): string {
   return JSON.stringify(request);
 }
 
-/** Reads a trace of JSON lines. */
+/** Parses a trace file of JSON lines. */
 export function parseTrace(text: string): TraceRequest[] {
   return text
     .split('\n')
