--- a/packages/policy/src/__tests__/budgetFleet.ts
+++ b/packages/policy/src/__tests__/budgetFleet.ts
@@ -66,7 +66,7 @@
   }
 
   private noteEntries(): void {
-    for (const {budgets} of this.processes.values()) budgets.noteEntries();
+    for (const {budgets} of this.processes.values()) budgets.noteEntryCount();
   }
 
   private add(name: string, isFirst: boolean): void {
@@ -81,10 +81,10 @@
     );
     const process = {budgets, linked: new Set<string>()};
     this.processes.set(name, process);
-    budgets.noteEntries();
-    budgets.onNews((report) => {
+    budgets.noteEntryCount();
+    budgets.onRetryUse((report) => {
       for (const other of process.linked) {
-        this.processes.get(other)?.budgets.noteTold(name, report);
+        this.processes.get(other)?.budgets.notePeerReport(name, report);
       }
     });
   }
@@ -103,20 +103,20 @@
 
   /** Sends the first report over a link and returns the prior use, if any. */
   private exchangeReports(from: string, to: string): void {
-    const report = this.budgetsOf(from).ownUse;
-    const priorUse = this.budgetsOf(to).noteTold(from, report);
-    if (priorUse !== undefined) this.budgetsOf(from).noteFormer(priorUse);
+    const report = this.budgetsOf(from).ownReport;
+    const priorUse = this.budgetsOf(to).notePeerReport(from, report);
+    if (priorUse !== undefined) this.budgetsOf(from).notePriorUse(priorUse);
   }
 
   private unlink(name: string, other: string): void {
     this.processes.get(name)?.linked.delete(other);
-    this.processes.get(name)?.budgets.noteUnheard(other);
+    this.processes.get(name)?.budgets.notePeerLost(other);
   }
 
   private sendKeepAlives(): void {
     for (const [name, {linked}] of this.processes) {
       for (const other of linked) {
-        this.processes.get(other)?.budgets.noteHeard(name);
+        this.processes.get(other)?.budgets.notePeerAlive(name);
       }
     }
     this.clock.after(KEEP_ALIVE_INTERVAL_MS, () => this.sendKeepAlives());
--- a/packages/policy/src/__tests__/crashSuspicions.test.ts
+++ b/packages/policy/src/__tests__/crashSuspicions.test.ts
@@ -4,10 +4,10 @@
 import {
   CrashSuspicions,
   Exposure,
-  FIRST_QUARANTINE_MS,
-  LONGEST_QUARANTINE_MS,
+  INITIAL_QUARANTINE_MS,
+  MAX_QUARANTINE_MS,
 } from '../crashSuspicions.js';
-import type {CrashEnd} from '../crashSuspicions.js';
+import type {CrashReport} from '../crashSuspicions.js';
 
 /*
  * Guards against one request that crashed twelve engines, as it was retried at entries that
@@ -40,7 +40,7 @@
 function crashReport(
   life: string,
   exposure: Exposure = Exposure.RUNNING,
-): CrashEnd {
+): CrashReport {
   return {life, exposure, agoMs: 0, sentAgoMs: TIME_TO_CRASH_MS};
 }
 
@@ -48,7 +48,7 @@
 function noteCrashes(count: number, exposure?: Exposure): void {
   for (let index = 0; index < count; index++) {
     nowMs += 1_000;
-    suspicions.noteEnd(FINGERPRINT, crashReport(`life-${nowMs}`, exposure));
+    suspicions.noteCrash(FINGERPRINT, crashReport(`life-${nowMs}`, exposure));
   }
 }
 
@@ -64,7 +64,7 @@
     noteCrashes(2);
     expect(suspicions.verdict(FINGERPRINT)).toEqual({
       kind: 'quarantined',
-      forMs: FIRST_QUARANTINE_MS,
+      forMs: INITIAL_QUARANTINE_MS,
     });
   });
 
@@ -77,38 +77,38 @@
 
   it('is tried again after delays that double up to the maximum', () => {
     noteCrashes(2);
-    let pauseMs = FIRST_QUARANTINE_MS;
+    let pauseMs = INITIAL_QUARANTINE_MS;
     for (let trial = 0; trial < 8; trial++) {
       nowMs += pauseMs - 1;
       expect(suspicions.verdict(FINGERPRINT).kind).toBe('quarantined');
       nowMs += 1;
       expect(suspicions.verdict(FINGERPRINT).kind).toBe('onTrial');
       noteCrashes(1);
-      pauseMs = Math.min(pauseMs * 2, LONGEST_QUARANTINE_MS);
+      pauseMs = Math.min(pauseMs * 2, MAX_QUARANTINE_MS);
     }
   });
 
   it('is free after a successful trial', () => {
     noteCrashes(2);
-    nowMs += FIRST_QUARANTINE_MS;
+    nowMs += INITIAL_QUARANTINE_MS;
     suspicions.noteServed(FINGERPRINT);
     expect(suspicions.verdict(FINGERPRINT).kind).toBe('free');
   });
 
   it('is forgotten after the retention time', () => {
     noteCrashes(2);
-    nowMs += 2 * LONGEST_QUARANTINE_MS;
+    nowMs += 2 * MAX_QUARANTINE_MS;
     expect(suspicions.verdict(FINGERPRINT).kind).toBe('free');
-    suspicions.noteEnd('r-2', crashReport('life-x'));
+    suspicions.noteCrash('r-2', crashReport('life-x'));
     expect(suspicions.size).toBe(1);
   });
 
   it('counts a crash once, however often it is reported', () => {
-    expect(suspicions.noteEnd(FINGERPRINT, crashReport('a'))).toBe(true);
-    expect(suspicions.noteEnd(FINGERPRINT, crashReport('a'))).toBe(false);
+    expect(suspicions.noteCrash(FINGERPRINT, crashReport('a'))).toBe(true);
+    expect(suspicions.noteCrash(FINGERPRINT, crashReport('a'))).toBe(false);
     nowMs += 500;
     expect(
-      suspicions.noteEnd(FINGERPRINT, crashReport('a', Exposure.WAITING)),
+      suspicions.noteCrash(FINGERPRINT, crashReport('a', Exposure.WAITING)),
     ).toBe(false);
     expect(suspicions.verdict(FINGERPRINT).kind).toBe('suspected');
   });
@@ -116,23 +116,23 @@
   it('counts the exposure with the higher weight', () => {
     noteCrashes(1);
     nowMs += 1_000;
-    suspicions.noteEnd(FINGERPRINT, crashReport('b', Exposure.WAITING));
+    suspicions.noteCrash(FINGERPRINT, crashReport('b', Exposure.WAITING));
     expect(suspicions.verdict(FINGERPRINT).kind).toBe('suspected');
-    expect(suspicions.noteEnd(FINGERPRINT, crashReport('b'))).toBe(true);
+    expect(suspicions.noteCrash(FINGERPRINT, crashReport('b'))).toBe(true);
     expect(suspicions.verdict(FINGERPRINT).kind).toBe('quarantined');
   });
 
   it('is quarantined after a second crash soon after the first if sent between the two', () => {
-    suspicions.noteEnd(FINGERPRINT, crashReport('a'));
+    suspicions.noteCrash(FINGERPRINT, crashReport('a'));
     nowMs += 50;
-    suspicions.noteEnd(FINGERPRINT, {...crashReport('b'), sentAgoMs: 45});
+    suspicions.noteCrash(FINGERPRINT, {...crashReport('b'), sentAgoMs: 45});
     expect(suspicions.verdict(FINGERPRINT).kind).toBe('quarantined');
   });
 
   it('counts simultaneous crashes once', () => {
     for (const life of ['a', 'b', 'c', 'd', 'e']) {
       nowMs += 15;
-      suspicions.noteEnd(FINGERPRINT, crashReport(life));
+      suspicions.noteCrash(FINGERPRINT, crashReport(life));
     }
     expect(suspicions.verdict(FINGERPRINT).kind).toBe('suspected');
   });
@@ -183,7 +183,7 @@
 
   it('contain ages, so that clocks need not agree', () => {
     noteCrashes(2);
-    nowMs += FIRST_QUARANTINE_MS / 2;
+    nowMs += INITIAL_QUARANTINE_MS / 2;
     const report = suspicions.get(FINGERPRINT)!;
     // A process with another clock offset.
     const other = new CrashSuspicions({nowMs: () => 5});
@@ -192,9 +192,9 @@
   });
 
   it('ignore expired crashes', () => {
-    const agoMs = 2 * LONGEST_QUARANTINE_MS;
+    const agoMs = 2 * MAX_QUARANTINE_MS;
     const old = {...crashReport('a'), agoMs, sentAgoMs: agoMs};
-    expect(suspicions.noteEnd(FINGERPRINT, old)).toBe(false);
+    expect(suspicions.noteCrash(FINGERPRINT, old)).toBe(false);
     expect(suspicions.isEmpty).toBe(true);
   });
 });
@@ -203,7 +203,7 @@
   it('are bounded if each request is a new one', () => {
     noteCrashes(2);
     for (let index = 0; index < 5_000; index++) {
-      suspicions.noteEnd(`other-${index}`, crashReport(`life-${index}`));
+      suspicions.noteCrash(`other-${index}`, crashReport(`life-${index}`));
     }
     expect(suspicions.size).toBe(1_000);
     expect(suspicions.verdict(FINGERPRINT).kind).toBe('quarantined');
@@ -264,7 +264,7 @@
       const at = pick(fleet);
       if (at.verdict('deadly').kind !== 'quarantined') {
         deadlyCrashesMs.push(nowMs);
-        at.noteEnd('deadly', crashReport(`d-${life++}`));
+        at.noteCrash('deadly', crashReport(`d-${life++}`));
         broadcast('deadly', at);
       }
     }
@@ -277,7 +277,7 @@
           random() < CHANCE_RUNNING_MS / TIME_TO_CRASH_MS
             ? Exposure.RUNNING
             : Exposure.WAITING;
-        at.noteEnd(name, crashReport(crashed, exposure));
+        at.noteCrash(name, crashReport(crashed, exposure));
         broadcast(name, at);
       }
       nowMs += 1_000 / (otherCrashes + 1);
@@ -303,7 +303,7 @@
     'quarantines a deadly request in time (seed %i)',
     (seed) => {
       const {deadlyCrashesMs} = simulateLoad(seed, true, 0);
-      const quarantineEndsMs = deadlyCrashesMs[0]! + FIRST_QUARANTINE_MS;
+      const quarantineEndsMs = deadlyCrashesMs[0]! + INITIAL_QUARANTINE_MS;
       const first = deadlyCrashesMs.filter((atMs) => atMs < quarantineEndsMs);
       expect(first.length).toBeLessThanOrEqual(MAX_CRASHES);
       const laterCount = deadlyCrashesMs.length - first.length;
--- a/packages/policy/src/__tests__/crashWitness.test.ts
+++ b/packages/policy/src/__tests__/crashWitness.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {endsAsPlanned, makesTrial} from '../crashWitness.js';
+import {isPlannedExit, isChosenForTrial} from '../crashWitness.js';
 
 describe('isPlannedExit', () => {
   it.each([
@@ -17,12 +17,12 @@
     ],
   ])('when %s: %s', (_name, isPlanned, changes) => {
     const leave = {isLeaving: true, hasSaidLeave: false, ...changes};
-    expect(endsAsPlanned(leave)).toBe(isPlanned);
+    expect(isPlannedExit(leave)).toBe(isPlanned);
   });
 
   it('is false for an endpoint that is not leaving', () => {
     const leave = {isLeaving: false, hasSaidLeave: false};
-    expect(endsAsPlanned(leave)).toBe(false);
+    expect(isPlannedExit(leave)).toBe(false);
   });
 });
 
@@ -33,7 +33,7 @@
     const makers = new Set<string>();
     for (let request = 0; request < 200; request++) {
       const chosen = members.filter((self) =>
-        makesTrial(`f-${request}`, self, members),
+        isChosenForTrial(`f-${request}`, self, members),
       );
       expect(chosen).toHaveLength(1);
       makers.add(chosen[0]!);
@@ -42,6 +42,6 @@
   });
 
   it('chooses an entry that sees no other', () => {
-    expect(makesTrial('f-1', 'entry-1', [])).toBe(true);
+    expect(isChosenForTrial('f-1', 'entry-1', [])).toBe(true);
   });
 });
--- a/packages/policy/src/__tests__/decisionsFuzz.test.ts
+++ b/packages/policy/src/__tests__/decisionsFuzz.test.ts
@@ -4,9 +4,13 @@
 import {CallTimes} from '../callTimes.js';
 import {DrainRate} from '../drainRate.js';
 import {EnginePace} from '../enginePace.js';
-import {endsInAnyCase, endsInTime} from '../lastGeneration.js';
-import {lapseEndsMs, lastWorkEndsMs, storeWatchMs} from '../leaveBound.js';
-import {OutcomeHealth} from '../outcomeHealth.js';
+import {isCertainToFinish, isLikelyToFinish} from '../lastGeneration.js';
+import {
+  expiredKeptUntilMs,
+  lastResortUntilMs,
+  storeWatchTimeoutMs,
+} from '../leaveBound.js';
+import {PassiveHealth} from '../outcomeHealth.js';
 import {decideRoom} from '../roomWait.js';
 import {mostAtRisk} from '../runOutlook.js';
 import {RetryBudgets} from '../retryBudgets.js';
@@ -91,7 +95,7 @@
           {kind: 'stored', clearMs: leftMs},
         ] as const;
         for (const each of news) {
-          const endsMs = lastWorkEndsMs(each, boundMs);
+          const endsMs = lastResortUntilMs(each, boundMs);
           expect(endsMs).toBeLessThanOrEqual(leftMs + boundMs);
         }
       }),
@@ -106,7 +110,7 @@
         fc.constantFrom(...Object.values(ViewState)),
         (boundMs, view) => {
           expect(gatherMs(boundMs, view)).toBeLessThanOrEqual(boundMs * 0.5);
-          expect(storeWatchMs(boundMs)).toBeLessThanOrEqual(boundMs + 1);
+          expect(storeWatchTimeoutMs(boundMs)).toBeLessThanOrEqual(boundMs + 1);
         },
       ),
       RUNS,
@@ -117,7 +121,7 @@
     fc.assert(
       fc.property(timeMs, timeMs, timeMs, (failedMs, laterMs, settleMs) => {
         const seen = {atMs: failedMs + laterMs, lastFailedMs: failedMs};
-        expect(lapseEndsMs(seen, settleMs)).toBeLessThanOrEqual(
+        expect(expiredKeptUntilMs(seen, settleMs)).toBeLessThanOrEqual(
           failedMs + settleMs,
         );
       }),
@@ -148,8 +152,8 @@
           maxOutputTokens: output,
           longestSilenceMs: 0,
         };
-        expect(endsInTime(generation, learned)).toBe(false);
-        expect(endsInAnyCase(generation, learned)).toBe(false);
+        expect(isLikelyToFinish(generation, learned)).toBe(false);
+        expect(isCertainToFinish(generation, learned)).toBe(false);
       }),
       RUNS,
     );
@@ -245,16 +249,16 @@
     fc.assert(
       fc.property(fc.array(event, {maxLength: 60}), (events) => {
         const doubts: number[] = [];
-        const health = new OutcomeHealth(({forMs}) => doubts.push(forMs));
+        const health = new PassiveHealth(({forMs}) => doubts.push(forMs));
         let nowMs = 0;
         for (const [kind, afterMs] of events) {
           nowMs += afterMs;
           if (kind === 0) health.noteSuccess();
           else if (kind === 1) health.noteFailure(nowMs);
-          else if (kind === 2) health.takeDoubt(nowMs, afterMs);
-          else health.noteSilence(nowMs, kind === 3);
-          expect(health.failureChance).toBeGreaterThanOrEqual(0);
-          expect(health.failureChance).toBeLessThanOrEqual(1);
+          else if (kind === 2) health.applyPeerDoubt(nowMs, afterMs);
+          else health.noteNoResponse(nowMs, kind === 3);
+          expect(health.failureProbability).toBeGreaterThanOrEqual(0);
+          expect(health.failureProbability).toBeLessThanOrEqual(1);
         }
         for (const forMs of doubts) expect(forMs).toBeLessThanOrEqual(8_000);
         expect(health.isDoubted(nowMs + 8_000)).toBe(false);
--- a/packages/policy/src/__tests__/homes.test.ts
+++ b/packages/policy/src/__tests__/homes.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {isHome} from '../homes.js';
+import {isAllowedRegion} from '../homes.js';
 
 describe('isAllowedRegion', () => {
   it.each([
@@ -13,14 +13,14 @@
     (_name, route, organisation, expected) => {
       const regions = ['r-1', 'r-2', 'r-3'];
       const allowed = regions.filter((region) =>
-        isHome(region, [route, organisation]),
+        isAllowedRegion(region, [route, organisation]),
       );
       expect(allowed).toEqual(expected);
     },
   );
 
   it('allows an unknown region only without a restriction', () => {
-    expect(isHome(undefined, [['r-1'], undefined])).toBe(false);
-    expect(isHome(undefined, [undefined, undefined])).toBe(true);
+    expect(isAllowedRegion(undefined, [['r-1'], undefined])).toBe(false);
+    expect(isAllowedRegion(undefined, [undefined, undefined])).toBe(true);
   });
 });
--- a/packages/policy/src/__tests__/incarnation.test.ts
+++ b/packages/policy/src/__tests__/incarnation.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import {describe, expect, it} from 'vitest';
-import {Succession, succession} from '../incarnation.js';
-import type {Life} from '../incarnation.js';
+import {IncarnationOrder, compareIncarnations} from '../incarnation.js';
+import type {Incarnation} from '../incarnation.js';
 
 const STARTED_AT_MS = 1_764_000_000_000;
 
@@ -9,66 +9,68 @@
   startedAtMs: number | undefined,
   place = 'bookings a',
   isLeaving = false,
-): Life {
-  return {startedAtMs, place, isLeaving};
+): Incarnation {
+  return {startedAtMs, location: place, isLeaving};
 }
 
 describe('compareIncarnations', () => {
   it('treats the same start as the same incarnation', () => {
-    const order = succession(
+    const order = compareIncarnations(
       incarnation(STARTED_AT_MS),
       incarnation(STARTED_AT_MS),
     );
-    expect(order).toBe(Succession.SAME);
+    expect(order).toBe(IncarnationOrder.SAME);
   });
 
   it('treats a later start as a new incarnation', () => {
-    const order = succession(
+    const order = compareIncarnations(
       incarnation(STARTED_AT_MS),
       incarnation(STARTED_AT_MS + 1),
     );
-    expect(order).toBe(Succession.LATER);
+    expect(order).toBe(IncarnationOrder.LATER);
   });
 
   it('treats an earlier start as a former incarnation', () => {
-    const order = succession(
+    const order = compareIncarnations(
       incarnation(STARTED_AT_MS),
       incarnation(STARTED_AT_MS - 1),
     );
-    expect(order).toBe(Succession.FORMER);
+    expect(order).toBe(IncarnationOrder.FORMER);
   });
 
   it('rejects a registration without the start time that was reported before', () => {
-    const order = succession(
+    const order = compareIncarnations(
       incarnation(STARTED_AT_MS),
       incarnation(undefined),
     );
-    expect(order).toBe(Succession.UNPROVEN);
+    expect(order).toBe(IncarnationOrder.UNPROVEN);
   });
 
   it('compares service and address where no start is reported', () => {
     const known = incarnation(undefined);
-    expect(succession(known, incarnation(undefined))).toBe(Succession.SAME);
+    expect(compareIncarnations(known, incarnation(undefined))).toBe(
+      IncarnationOrder.SAME,
+    );
     const moved = incarnation(undefined, 'bookings b');
-    expect(succession(known, moved)).toBe(Succession.LATER);
+    expect(compareIncarnations(known, moved)).toBe(IncarnationOrder.LATER);
   });
 
   it('treats a new address with the same start as a new incarnation', () => {
-    const order = succession(
+    const order = compareIncarnations(
       incarnation(STARTED_AT_MS),
       incarnation(STARTED_AT_MS, 'bookings b'),
     );
-    expect(order).toBe(Succession.LATER);
+    expect(order).toBe(IncarnationOrder.LATER);
   });
 
   it('treats a registration from before the leave as outdated', () => {
     const left = incarnation(STARTED_AT_MS, 'bookings a', true);
-    expect(succession(left, incarnation(STARTED_AT_MS))).toBe(
-      Succession.FORMER,
+    expect(compareIncarnations(left, incarnation(STARTED_AT_MS))).toBe(
+      IncarnationOrder.FORMER,
     );
-    expect(succession(left, left)).toBe(Succession.SAME);
-    expect(succession(left, incarnation(STARTED_AT_MS + 1))).toBe(
-      Succession.LATER,
+    expect(compareIncarnations(left, left)).toBe(IncarnationOrder.SAME);
+    expect(compareIncarnations(left, incarnation(STARTED_AT_MS + 1))).toBe(
+      IncarnationOrder.LATER,
     );
   });
 
@@ -79,7 +81,8 @@
         let known = incarnation(reported[0]);
         for (const startedAtMs of reported) {
           const next = incarnation(startedAtMs);
-          const isTaken = succession(known, next) === Succession.LATER;
+          const isTaken =
+            compareIncarnations(known, next) === IncarnationOrder.LATER;
           if (isTaken) known = next;
         }
         expect(known.startedAtMs).toBe(Math.max(...reported));
--- a/packages/policy/src/__tests__/lastGeneration.test.ts
+++ b/packages/policy/src/__tests__/lastGeneration.test.ts
@@ -1,8 +1,8 @@
 import {createRandom} from '@lilacledge/shared';
 import {describe, expect, it} from 'vitest';
 import {EnginePace} from '../enginePace.js';
-import {endsInAnyCase, endsInTime} from '../lastGeneration.js';
-import type {LastGeneration} from '../lastGeneration.js';
+import {isCertainToFinish, isLikelyToFinish} from '../lastGeneration.js';
+import type {ShutdownGeneration} from '../lastGeneration.js';
 
 /*
  * Guards against an entry that starts generations during its shutdown and interrupts them:
@@ -52,14 +52,14 @@
   let cut = 0;
   for (let index = 0; index < GENERATION_COUNT; index++) {
     const tokens = 1 + Math.floor(random() * longest);
-    const generation: LastGeneration = {
+    const generation: ShutdownGeneration = {
       timeLeftMs: GRACE_MS - random() * ARRIVALS_MS,
       promptTokens: PROMPT_TOKENS,
       expectedOutputTokens: tokens,
       maxOutputTokens: longest,
       longestSilenceMs: MAX_SILENCE_MS,
     };
-    if (!endsInTime(generation, pace)) continue;
+    if (!isLikelyToFinish(generation, pace)) continue;
     begun++;
     const neededMs = PROMPT_MS + tokens * TOKEN_MS * randomPaceFactor(random);
     if (neededMs > generation.timeLeftMs) cut++;
@@ -86,8 +86,8 @@
       maxOutputTokens: 200_000,
       longestSilenceMs: MAX_SILENCE_MS,
     };
-    expect(endsInTime(generation, new EnginePace())).toBe(true);
-    expect(endsInAnyCase(generation, new EnginePace())).toBe(true);
+    expect(isLikelyToFinish(generation, new EnginePace())).toBe(true);
+    expect(isCertainToFinish(generation, new EnginePace())).toBe(true);
   });
 
   it('is never interrupted if certain to finish, however long it queues', () => {
@@ -97,14 +97,14 @@
     let cut = 0;
     for (let index = 0; index < GENERATION_COUNT; index++) {
       const tokens = 1 + Math.floor(random() * 300);
-      const generation: LastGeneration = {
+      const generation: ShutdownGeneration = {
         timeLeftMs: GRACE_MS * random(),
         promptTokens: 100,
         expectedOutputTokens: tokens / 2,
         maxOutputTokens: tokens,
         longestSilenceMs: MAX_SILENCE_MS,
       };
-      if (!endsInAnyCase(generation, pace)) continue;
+      if (!isCertainToFinish(generation, pace)) continue;
       begun++;
       const waitMs = random() * MAX_SILENCE_MS;
       const neededMs = waitMs + tokens * TOKEN_MS * randomPaceFactor(random);
@@ -123,10 +123,10 @@
       longestSilenceMs: PROMPT_MS,
     };
     const pace = learnedPace();
-    expect(endsInAnyCase(generation, pace)).toBe(false);
+    expect(isCertainToFinish(generation, pace)).toBe(false);
     const short = {...generation, maxOutputTokens: 300};
-    expect(endsInAnyCase(short, pace)).toBe(true);
+    expect(isCertainToFinish(short, pace)).toBe(true);
     const long = {...short, longestSilenceMs: GRACE_MS};
-    expect(endsInAnyCase(long, pace)).toBe(false);
+    expect(isCertainToFinish(long, pace)).toBe(false);
   });
 });
--- a/packages/policy/src/__tests__/leaveBound.test.ts
+++ b/packages/policy/src/__tests__/leaveBound.test.ts
@@ -1,5 +1,9 @@
 import {describe, expect, it} from 'vitest';
-import {lapseEndsMs, lastWorkEndsMs, storeWatchMs} from '../leaveBound.js';
+import {
+  expiredKeptUntilMs,
+  lastResortUntilMs,
+  storeWatchTimeoutMs,
+} from '../leaveBound.js';
 import {gatherMs, ViewState} from '../watchPace.js';
 
 /** Connection timeout plus the transfer of the request. */
@@ -13,7 +17,7 @@
       const reported = {kind: 'told', atMs: receivedMs} as const;
       const stored = {kind: 'stored', clearMs: 0} as const;
       for (const notice of [reported, stored]) {
-        const lastMs = lastWorkEndsMs(notice, deadlineMs);
+        const lastMs = lastResortUntilMs(notice, deadlineMs);
         expect(lastMs + CONNECT_MS).toBeLessThan(deadlineMs);
         expect(lastMs).toBeGreaterThan(deadlineMs * 0.75);
       }
@@ -21,8 +25,8 @@
   );
 
   it('shortens the use as a last resort by the possible age of the leave', () => {
-    expect(lastWorkEndsMs({kind: 'told', atMs: 0}, 2_000)).toBe(1_000);
-    expect(lastWorkEndsMs({kind: 'stored', clearMs: 0}, 2_000)).toBe(1_600);
+    expect(lastResortUntilMs({kind: 'told', atMs: 0}, 2_000)).toBe(1_000);
+    expect(lastResortUntilMs({kind: 'stored', clearMs: 0}, 2_000)).toBe(1_600);
   });
 });
 
@@ -31,7 +35,8 @@
     'lets a dead watch be detected within the settling time (%d ms)',
     (settleMs) => {
       const [clientMarginMs, retryMs] = [700, 60];
-      const detectedMs = storeWatchMs(settleMs) + clientMarginMs + retryMs;
+      const detectedMs =
+        storeWatchTimeoutMs(settleMs) + clientMarginMs + retryMs;
       expect(detectedMs).toBeLessThan(settleMs);
     },
   );
@@ -42,15 +47,15 @@
 
   it('keeps an endpoint for as long as its registration may return', () => {
     const recovery = {atMs: 10_000, lastFailedMs: 9_900};
-    expect(lapseEndsMs(recovery, SETTLE_MS)).toBe(12_500);
+    expect(expiredKeptUntilMs(recovery, SETTLE_MS)).toBe(12_500);
   });
 
   it('ends when the deadline applies again, counted from the last failure', () => {
     const recovery = {atMs: 10_000, lastFailedMs: 8_600};
-    expect(lapseEndsMs(recovery, SETTLE_MS)).toBe(11_600);
+    expect(expiredKeptUntilMs(recovery, SETTLE_MS)).toBe(11_600);
   });
 
   it('keeps nothing if only a connection had failed', () => {
-    expect(lapseEndsMs({atMs: 10_000}, SETTLE_MS)).toBeLessThan(10_000);
+    expect(expiredKeptUntilMs({atMs: 10_000}, SETTLE_MS)).toBeLessThan(10_000);
   });
 });
--- a/packages/policy/src/__tests__/outcomeHealth.test.ts
+++ b/packages/policy/src/__tests__/outcomeHealth.test.ts
@@ -1,13 +1,13 @@
 import {beforeEach, describe, expect, it} from 'vitest';
-import {OutcomeHealth} from '../outcomeHealth.js';
+import {PassiveHealth} from '../outcomeHealth.js';
 import type {Doubt} from '../outcomeHealth.js';
 
 let doubts: Doubt[];
-let health: OutcomeHealth;
+let health: PassiveHealth;
 
 beforeEach(() => {
   doubts = [];
-  health = new OutcomeHealth((doubt) => doubts.push(doubt));
+  health = new PassiveHealth((doubt) => doubts.push(doubt));
 });
 
 describe('PassiveHealth', () => {
@@ -20,19 +20,19 @@
   });
 
   it('raises a doubt at the given number of requests without a response', () => {
-    health.noteSilence(0, true);
+    health.noteNoResponse(0, true);
     expect(doubts).toEqual([]);
-    health.noteSilence(0, true);
+    health.noteNoResponse(0, true);
     expect(doubts).toEqual([{cause: 'reset', forMs: 1_500}]);
-    const strict = new OutcomeHealth();
-    strict.noteSilence(0, true, 1);
+    const strict = new PassiveHealth();
+    strict.noteNoResponse(0, true, 1);
     expect(strict.isDoubted(0)).toBe(true);
   });
 
   it('doubles consecutive doubts up to eight seconds', () => {
     let nowMs = 0;
     for (let round = 0; round < 5; round++) {
-      health.noteSilence(nowMs, false, 1);
+      health.noteNoResponse(nowMs, false, 1);
       nowMs += 10_000;
     }
     expect(doubts.map(({forMs}) => forMs)).toEqual([
@@ -42,16 +42,16 @@
 
   describe('with a doubt reported by a peer', () => {
     it('applies it once and notifies once', () => {
-      health.takeDoubt(0, 1_000);
-      health.takeDoubt(500, 1_000);
+      health.applyPeerDoubt(0, 1_000);
+      health.applyPeerDoubt(500, 1_000);
       expect(doubts).toEqual([{cause: 'peer', forMs: 1_000}]);
       expect(health.isDoubted(999)).toBe(true);
       expect(health.isDoubted(1_000)).toBe(false);
     });
 
     it('continues its backoff when own requests fail afterwards', () => {
-      health.takeDoubt(0, 1_500);
-      health.noteSilence(2_000, true, 1);
+      health.applyPeerDoubt(0, 1_500);
+      health.noteNoResponse(2_000, true, 1);
       expect(doubts.at(-1)).toEqual({cause: 'reset', forMs: 3_000});
     });
   });
@@ -59,11 +59,11 @@
 
 describe('PassiveHealth that raises no doubts', () => {
   it('still estimates the failure probability', () => {
-    const plain = new OutcomeHealth((doubt) => doubts.push(doubt), false);
-    for (let failure = 0; failure < 9; failure++) plain.noteSilence(0, true);
-    plain.takeDoubt(0, 5_000);
+    const plain = new PassiveHealth((doubt) => doubts.push(doubt), false);
+    for (let failure = 0; failure < 9; failure++) plain.noteNoResponse(0, true);
+    plain.applyPeerDoubt(0, 5_000);
     expect(plain.isDoubted(1)).toBe(false);
     expect(doubts).toEqual([]);
-    expect(plain.failureChance).toBeGreaterThan(0.5);
+    expect(plain.failureProbability).toBeGreaterThan(0.5);
   });
 });
--- a/packages/policy/src/__tests__/retryBudgets.test.ts
+++ b/packages/policy/src/__tests__/retryBudgets.test.ts
@@ -150,7 +150,7 @@
       fleet.end('a');
       fleet.healPartitions();
       for (const other of ['b', 'c', 'd']) {
-        fleet.budgetsOf(other).noteHeard('a');
+        fleet.budgetsOf(other).notePeerAlive('a');
       }
       fleet.start('a');
       expect(takeAll('a')).toBe(0);
--- a/packages/policy/src/__tests__/sharedRetryBudget.test.ts
+++ b/packages/policy/src/__tests__/sharedRetryBudget.test.ts
@@ -20,7 +20,11 @@
   const sharers = {entries: () => entries, isCurrent: () => true};
   const own = {life: 'entry-0 a', isFirst: true};
   const budgets = new RetryBudgets(own, ALLOWANCE, sharers, clock);
-  budgets.noteTold('entry-1', {life: 'entry-1 a', isComplete: true, uses: []});
+  budgets.notePeerReport('entry-1', {
+    life: 'entry-1 a',
+    isComplete: true,
+    uses: [],
+  });
   return budgets.of('calls');
 }
 
--- a/packages/policy/src/__tests__/suspectPlace.test.ts
+++ b/packages/policy/src/__tests__/suspectPlace.test.ts
@@ -1,28 +1,30 @@
 import {createRandom} from '@lilacledge/shared';
 import {describe, expect, it} from 'vitest';
-import {suspectPlace} from '../suspectPlace.js';
-import type {SuspectPlace} from '../suspectPlace.js';
+import {chooseTrialEndpoint} from '../suspectPlace.js';
+import type {TrialCandidate} from '../suspectPlace.js';
 
 const ENGINES = 9;
 const MEMORY_TOKENS = 34_000;
 const TRIALS = 500;
 
-function candidate(usedTokens: number, isDoubted = false): SuspectPlace {
+function candidate(usedTokens: number, isDoubted = false): TrialCandidate {
   return {usedTokens, isDoubted};
 }
 
 describe('chooseTrialEndpoint', () => {
   it('chooses the endpoint with the least work', () => {
     const candidates = [candidate(900), candidate(100), candidate(500)];
-    expect(suspectPlace(candidates)).toEqual(candidate(100));
+    expect(chooseTrialEndpoint(candidates)).toEqual(candidate(100));
   });
 
   it('chooses a doubted endpoint only if there is no other', () => {
-    expect(suspectPlace([candidate(0, true), candidate(700)])).toEqual(
+    expect(chooseTrialEndpoint([candidate(0, true), candidate(700)])).toEqual(
       candidate(700),
     );
-    expect(suspectPlace([candidate(0, true)])).toEqual(candidate(0, true));
-    expect(suspectPlace([])).toBeUndefined();
+    expect(chooseTrialEndpoint([candidate(0, true)])).toEqual(
+      candidate(0, true),
+    );
+    expect(chooseTrialEndpoint([])).toBeUndefined();
   });
 
   it.each([1, 2, 3])(
@@ -35,7 +37,7 @@
         const candidates = Array.from({length: ENGINES}, () =>
           candidate(random() * MEMORY_TOKENS),
         );
-        atRisk += suspectPlace(candidates)!.usedTokens;
+        atRisk += chooseTrialEndpoint(candidates)!.usedTokens;
         randomChoice += candidates[Math.floor(random() * ENGINES)]!.usedTokens;
       }
       expect(atRisk).toBeLessThan(randomChoice / 2);
--- a/packages/policy/src/crashSuspicions.ts
+++ b/packages/policy/src/crashSuspicions.ts
@@ -10,7 +10,7 @@
 export type Exposure = (typeof Exposure)[keyof typeof Exposure];
 
 /** The crash of one incarnation of an endpoint while it had a request. */
-export interface CrashEnd {
+export interface CrashReport {
   /** ID of the incarnation; the same in every process that reports the crash. */
   readonly life: string;
   readonly exposure: Exposure;
@@ -24,7 +24,7 @@
 export interface Suspicion {
   /** Identifies content and caller; the same for every attempt. */
   readonly fingerprint: string;
-  readonly ends: readonly CrashEnd[];
+  readonly ends: readonly CrashReport[];
   /** Incarnations that the request did not crash, as it has been served since. */
   readonly cleared: readonly string[];
 }
@@ -52,13 +52,13 @@
 const QUARANTINE_WEIGHT = 6;
 
 /** Length of the first quarantine; each failed trial doubles it. */
-export const FIRST_QUARANTINE_MS = 30_000;
+export const INITIAL_QUARANTINE_MS = 30_000;
 
 /** Repairing a service takes minutes. */
-export const LONGEST_QUARANTINE_MS = 600_000;
+export const MAX_QUARANTINE_MS = 600_000;
 
 /** Crashes older than this are ignored. */
-const RETENTION_MS = 2 * LONGEST_QUARANTINE_MS;
+const RETENTION_MS = 2 * MAX_QUARANTINE_MS;
 
 /** Requests that are kept; about 300 bytes each. */
 const MAX_REQUESTS = 1_000;
@@ -135,7 +135,7 @@
   }
 
   /** Records that an endpoint crashed while it had the request; false if already known. */
-  noteEnd(fingerprint: string, end: CrashEnd): boolean {
+  noteCrash(fingerprint: string, end: CrashReport): boolean {
     return this.merge({fingerprint, ends: [end], cleared: []});
   }
 
@@ -205,7 +205,7 @@
 /** False for a crash that is known, or too old to count. */
 function addsInformation(
   {ends}: RequestRecord,
-  {life, exposure, agoMs}: CrashEnd,
+  {life, exposure, agoMs}: CrashReport,
 ): boolean {
   if (agoMs >= RETENTION_MS) return false;
   const known = ends.get(life);
@@ -238,10 +238,7 @@
   const failedTrials = Math.floor(
     (weight - QUARANTINE_WEIGHT) / WEIGHTS[Exposure.RUNNING],
   );
-  return Math.min(
-    LONGEST_QUARANTINE_MS,
-    FIRST_QUARANTINE_MS * 2 ** failedTrials,
-  );
+  return Math.min(MAX_QUARANTINE_MS, INITIAL_QUARANTINE_MS * 2 ** failedTrials);
 }
 
 function evictOldest({ends, cleared}: RequestRecord): void {
--- a/packages/policy/src/crashWitness.ts
+++ b/packages/policy/src/crashWitness.ts
@@ -1,7 +1,7 @@
 import {rendezvous} from '@lilacledge/shared';
 
 /** What an entry knows about the shutdown of an endpoint that has exited. */
-export interface EndedLeave {
+export interface EndpointExit {
   readonly isLeaving: boolean;
   /** True once its registration said that it was leaving. */
   readonly hasSaidLeave: boolean;
@@ -19,11 +19,11 @@
  * it. A platform that detects a crash at once removes the registration in the same moment; an
  * endpoint that leaves keeps serving for the drain time, which is longer.
  */
-export function endsAsPlanned({
+export function isPlannedExit({
   isLeaving,
   hasSaidLeave,
   removedAgoMs,
-}: EndedLeave): boolean {
+}: EndpointExit): boolean {
   if (!isLeaving || hasSaidLeave || removedAgoMs === undefined) {
     return isLeaving;
   }
@@ -34,7 +34,7 @@
  * Whether this entry is the one that retries a quarantined request. All entries with the same
  * view agree, so that a failing trial crashes one endpoint and not one per entry.
  */
-export function makesTrial(
+export function isChosenForTrial(
   fingerprint: string,
   self: string,
   members: readonly string[],
--- a/packages/policy/src/incarnation.ts
+++ b/packages/policy/src/incarnation.ts
@@ -8,17 +8,17 @@
  */
 
 /** What distinguishes two incarnations of one id. */
-export interface Life {
+export interface Incarnation {
   /** Unix time of the start as the endpoint reports it; undefined if it does not. */
   readonly startedAtMs?: number;
   /** Service and address, which never change while an endpoint runs. */
-  readonly place: string;
+  readonly location: string;
   /** True once the endpoint has announced that it leaves, which it never revokes. */
   readonly isLeaving: boolean;
 }
 
 /** How a registration relates to the known incarnation of its id. */
-export const Succession = {
+export const IncarnationOrder = {
   SAME: 'same',
   /** The endpoint restarted: all state of the known incarnation is obsolete. */
   LATER: 'later',
@@ -27,21 +27,30 @@
   /** Lacks the start time that the known incarnation reported: written by another process. */
   UNPROVEN: 'unproven',
 } as const;
-export type Succession = (typeof Succession)[keyof typeof Succession];
+export type IncarnationOrder =
+  (typeof IncarnationOrder)[keyof typeof IncarnationOrder];
 
 /** Compares a registered incarnation with the known one. */
-export function succession(known: Life, registered: Life): Succession {
+export function compareIncarnations(
+  known: Incarnation,
+  registered: Incarnation,
+): IncarnationOrder {
   const startOrder = compareStarts(known.startedAtMs, registered.startedAtMs);
-  if (startOrder !== Succession.SAME) return startOrder;
-  if (known.place !== registered.place) return Succession.LATER;
+  if (startOrder !== IncarnationOrder.SAME) return startOrder;
+  if (known.location !== registered.location) return IncarnationOrder.LATER;
   // The store may apply a write seconds after the client stopped waiting for it.
   const isBeforeLeave = known.isLeaving && !registered.isLeaving;
-  return isBeforeLeave ? Succession.FORMER : Succession.SAME;
+  return isBeforeLeave ? IncarnationOrder.FORMER : IncarnationOrder.SAME;
 }
 
-function compareStarts(knownMs?: number, registeredMs?: number): Succession {
-  if (knownMs === registeredMs) return Succession.SAME;
-  if (registeredMs === undefined) return Succession.UNPROVEN;
-  if (knownMs === undefined) return Succession.LATER;
-  return registeredMs > knownMs ? Succession.LATER : Succession.FORMER;
+function compareStarts(
+  knownMs?: number,
+  registeredMs?: number,
+): IncarnationOrder {
+  if (knownMs === registeredMs) return IncarnationOrder.SAME;
+  if (registeredMs === undefined) return IncarnationOrder.UNPROVEN;
+  if (knownMs === undefined) return IncarnationOrder.LATER;
+  return registeredMs > knownMs
+    ? IncarnationOrder.LATER
+    : IncarnationOrder.FORMER;
 }
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -5,7 +5,7 @@
   EngineCapacity,
   MemoryClaim,
 } from './admission.js';
-export {AskedRest} from './askedRest.js';
+export {RequestedBackoff} from './askedRest.js';
 export {CallTimes} from './callTimes.js';
 export {
   EndpointChooser,
@@ -16,22 +16,22 @@
 export {
   CrashSuspicions,
   Exposure,
-  FIRST_QUARANTINE_MS,
-  LONGEST_QUARANTINE_MS,
+  INITIAL_QUARANTINE_MS,
+  MAX_QUARANTINE_MS,
 } from './crashSuspicions.js';
-export type {CrashEnd, CrashVerdict, Suspicion} from './crashSuspicions.js';
-export {endsAsPlanned, makesTrial} from './crashWitness.js';
-export type {EndedLeave} from './crashWitness.js';
+export type {CrashReport, CrashVerdict, Suspicion} from './crashSuspicions.js';
+export {isPlannedExit, isChosenForTrial} from './crashWitness.js';
+export type {EndpointExit} from './crashWitness.js';
 export {DrainRate} from './drainRate.js';
 export {EnginePace} from './enginePace.js';
 export {estimateTokens} from './estimateTokens.js';
 export {drawToAsk} from './freshLook.js';
 export {hedgeRead} from './hedgedRead.js';
 export type {HedgeSettings} from './hedgedRead.js';
-export {isHome} from './homes.js';
-export type {Homes} from './homes.js';
-export {Succession, succession} from './incarnation.js';
-export type {Life} from './incarnation.js';
+export {isAllowedRegion} from './homes.js';
+export type {AllowedRegions} from './homes.js';
+export {IncarnationOrder, compareIncarnations} from './incarnation.js';
+export type {Incarnation} from './incarnation.js';
 export {
   decideUnknownKey,
   KEY_SLOTS,
@@ -39,25 +39,33 @@
   KEY_UNOWNED_RETRY_MS,
   slotOfKey,
 } from './keyOwnership.js';
-export type {KeyDecision, KeyInterval, KeyQuestion} from './keyOwnership.js';
-export {lapseEndsMs, lastWorkEndsMs, storeWatchMs} from './leaveBound.js';
-export type {LeaveNews} from './leaveBound.js';
+export type {
+  KeyDecision,
+  KeyInterval,
+  UnknownKeyQuery,
+} from './keyOwnership.js';
+export {
+  expiredKeptUntilMs,
+  lastResortUntilMs,
+  storeWatchTimeoutMs,
+} from './leaveBound.js';
+export type {LeaveNotice} from './leaveBound.js';
 export {readAfter} from './bulkReads.js';
 export type {BulkAnswer, NextRead} from './bulkReads.js';
-export type {StoreReturn} from './leaveBound.js';
-export {endsInAnyCase, endsInTime} from './lastGeneration.js';
-export type {LastGeneration} from './lastGeneration.js';
+export type {StoreRecovery} from './leaveBound.js';
+export {isCertainToFinish, isLikelyToFinish} from './lastGeneration.js';
+export type {ShutdownGeneration} from './lastGeneration.js';
 export {nextInRings, ringCount} from './linkRings.js';
 export {LengthEstimator, LengthModel} from './lengthModel.js';
 export type {SurvivalEstimate} from './lengthModel.js';
 export {OrganisationLimiter} from './organisationLimiter.js';
 export type {LimitDecision, OrganisationLimit} from './organisationLimiter.js';
 export {PromptSizes} from './promptSizes.js';
-export {suspectPlace} from './suspectPlace.js';
-export type {SuspectPlace} from './suspectPlace.js';
+export {chooseTrialEndpoint} from './suspectPlace.js';
+export type {TrialCandidate} from './suspectPlace.js';
 export {urgency} from './queueOrder.js';
 export type {QueueRule, WaitingGeneration} from './queueOrder.js';
-export {DoubtCause, OutcomeHealth, SILENT_LIMIT} from './outcomeHealth.js';
+export {DoubtCause, PassiveHealth, NO_RESPONSE_LIMIT} from './outcomeHealth.js';
 export type {Doubt} from './outcomeHealth.js';
 export {prefixBlocks, PrefixHints} from './prefixHints.js';
 export {mostAtRisk} from './runOutlook.js';
@@ -66,16 +74,21 @@
 export {SharedRetryBudget} from './sharedRetryBudget.js';
 export type {BudgetSharing, RetryAllowance} from './sharedRetryBudget.js';
 export {RetryBudgets} from './retryBudgets.js';
-export type {FormerUse, OwnLife, RetryUse, ToldUse} from './retryBudgets.js';
-export type {Sharers} from './sharerCount.js';
-export {LimitChange, StatedLimit} from './statedLimit.js';
 export type {
-  AnswerTimes,
-  LimitStatement,
-  LimitTeller,
-  ToldLimit,
+  PriorUseReport,
+  OwnIncarnation,
+  ServiceRetryUse,
+  RetryUseReport,
+} from './retryBudgets.js';
+export type {FleetView} from './sharerCount.js';
+export {LimitChange, AnnouncedLimit} from './statedLimit.js';
+export type {
+  ResponseTimes,
+  LimitAnnouncement,
+  LimitReporter,
+  PeerLimitReport,
 } from './statedLimit.js';
-export type {RepeatPart} from './repeatUse.js';
+export type {RetryCountBucket} from './repeatUse.js';
 export {returnAfter} from './returnTime.js';
 export {decideRoom} from './roomWait.js';
 export type {RoomDecision, RoomQuestion} from './roomWait.js';
--- a/packages/policy/src/keyOwnership.ts
+++ b/packages/policy/src/keyOwnership.ts
@@ -36,14 +36,14 @@
   return hash32(`${organisationId}|${key.toLowerCase()}`) % KEY_SLOTS;
 }
 
-export interface KeyQuestion {
+export interface UnknownKeyQuery {
   readonly key: string;
   readonly interval: KeyInterval | undefined;
   /** Records of keys created before this may have been evicted. */
   readonly forgottenBeforeWallMs: number;
   readonly nowWallMs: number;
   /** Maximum accepted lead of a caller's clock. */
-  readonly skewMs: number;
+  readonly maxClockLeadMs: number;
 }
 
 /**
@@ -52,14 +52,14 @@
  * store, so it is right however long the sidecar was paused: the intervals of two sidecars
  * never overlap.
  */
-export function decideUnknownKey(query: KeyQuestion): KeyDecision {
+export function decideUnknownKey(query: UnknownKeyQuery): KeyDecision {
   const createdMs = mintTimeMs(query.key);
   if (createdMs === undefined) {
     return refuse(
       notRun(FailureKind.KEY_MISSING, 'Idempotency-Key must be a UUIDv7'),
     );
   }
-  if (createdMs > query.nowWallMs + query.skewMs) {
+  if (createdMs > query.nowWallMs + query.maxClockLeadMs) {
     return refuse(
       notRun(
         FailureKind.KEY_FROM_FUTURE,
--- a/packages/policy/src/lastGeneration.ts
+++ b/packages/policy/src/lastGeneration.ts
@@ -1,7 +1,7 @@
 import type {EnginePace} from './enginePace.js';
 
 /** A generation that arrives at a process during its graceful shutdown. */
-export interface LastGeneration {
+export interface ShutdownGeneration {
   /** Time until the process ends open requests; infinite while it is not shutting down. */
   readonly timeLeftMs: number;
   readonly promptTokens: number;
@@ -19,8 +19,8 @@
  * the median pace some outputs of the estimated length would be interrupted; allowing for
  * longer outputs too would refuse more callers than it saves.
  */
-export function endsInTime(
-  generation: LastGeneration,
+export function isLikelyToFinish(
+  generation: ShutdownGeneration,
   pace: EnginePace,
 ): boolean {
   const {timeLeftMs, promptTokens, expectedOutputTokens} = generation;
@@ -32,8 +32,8 @@
  * Whether even the longest output completes before the process exits. The queueing time at
  * the engine is unknown in advance, but the caller waits no longer than `longestSilenceMs`.
  */
-export function endsInAnyCase(
-  {timeLeftMs, maxOutputTokens, longestSilenceMs}: LastGeneration,
+export function isCertainToFinish(
+  {timeLeftMs, maxOutputTokens, longestSilenceMs}: ShutdownGeneration,
   pace: EnginePace,
 ): boolean {
   const outputMs = pace.longestOutputMs(maxOutputTokens);
--- a/packages/policy/src/leaveBound.ts
+++ b/packages/policy/src/leaveBound.ts
@@ -21,7 +21,7 @@
  * Share of the deadline in which changes are batched between two responses of the watch.
  * Each response has a cost; a longer pause would shorten the use as a last resort.
  */
-export const GATHER_SHARE = 0.3;
+export const CHANGE_BATCHING_SHARE = 0.3;
 
 /**
  * Share of the deadline, from the last moment without a stored leave, in which a leaving
@@ -33,7 +33,7 @@
  * The same from when a leave was reported by others; shorter, as the store may have had the
  * leave for the whole batching time.
  */
-const REPORTED_LEAVE_SHARE = STORED_LEAVE_SHARE - GATHER_SHARE;
+const REPORTED_LEAVE_SHARE = STORED_LEAVE_SHARE - CHANGE_BATCHING_SHARE;
 
 /**
  * Share of the settling time that a watch waits for changes. The rest is for the client's
@@ -49,7 +49,7 @@
 const EXPIRED_KEEP_MS = 2_500;
 
 /** The recovery of the store as a process observed it. */
-export interface StoreReturn {
+export interface StoreRecovery {
   /** When the store responded again, on the process's clock. */
   readonly atMs: number;
   /**
@@ -60,14 +60,17 @@
 }
 
 /** How a process learned that an endpoint leaves; times of the process's clock. */
-export type LeaveNews =
+export type LeaveNotice =
   /** Read from the store, which did not have it yet at `clearMs`. */
   | {readonly kind: 'stored'; readonly clearMs: number}
   /** Reported by the endpoint, its sidecar or a response at `atMs`. */
   | {readonly kind: 'told'; readonly atMs: number};
 
 /** Until when a leaving endpoint may get work as a last resort. */
-export function lastWorkEndsMs(notice: LeaveNews, deadlineMs: number): number {
+export function lastResortUntilMs(
+  notice: LeaveNotice,
+  deadlineMs: number,
+): number {
   switch (notice.kind) {
     case 'stored':
       return notice.clearMs + deadlineMs * STORED_LEAVE_SHARE;
@@ -82,7 +85,7 @@
  * How long a watch waits for changes that must arrive in time: those of endpoints, and of the
  * configuration, whose own deadline leaves no time for a silent connection.
  */
-export function storeWatchMs(settleMs: number): number {
+export function storeWatchTimeoutMs(settleMs: number): number {
   return Math.round(settleMs * WATCH_SHARE);
 }
 
@@ -92,7 +95,10 @@
  * expires; in both cases the deadline applies again only `settleMs` after the outage ended,
  * which was after the last failed call.
  */
-export function lapseEndsMs(recovery: StoreReturn, settleMs: number): number {
+export function expiredKeptUntilMs(
+  recovery: StoreRecovery,
+  settleMs: number,
+): number {
   if (recovery.lastFailedMs === undefined) return Number.NEGATIVE_INFINITY;
   return Math.min(
     recovery.atMs + EXPIRED_KEEP_MS,
--- a/packages/policy/src/outcomeHealth.ts
+++ b/packages/policy/src/outcomeHealth.ts
@@ -14,7 +14,7 @@
 const MAX_DOUBT_MS = 8_000;
 
 /** Consecutive requests without a connection or a response that raise a doubt. */
-export const SILENT_LIMIT = 2;
+export const NO_RESPONSE_LIMIT = 2;
 
 /** What raised a doubt. */
 export const DoubtCause = {
@@ -36,7 +36,7 @@
 }
 
 /** Passive health check: judges an endpoint by the outcomes of this process's requests. */
-export class OutcomeHealth {
+export class PassiveHealth {
   private failureRatio = 0;
   private consecutiveNoResponses = 0;
   private doubtUntilMs = 0;
@@ -54,7 +54,7 @@
   }
 
   /** Estimated probability that a request fails, 0 to 1. */
-  get failureChance(): number {
+  get failureProbability(): number {
     return this.failureRatio;
   }
 
@@ -73,7 +73,11 @@
   }
 
   /** No connection or no response; `limit` of these in a row raise a doubt. */
-  noteSilence(nowMs: number, isReset: boolean, limit = SILENT_LIMIT): void {
+  noteNoResponse(
+    nowMs: number,
+    isReset: boolean,
+    limit = NO_RESPONSE_LIMIT,
+  ): void {
     this.addFailure();
     this.consecutiveNoResponses++;
     const isDoubtful =
@@ -83,7 +87,7 @@
   }
 
   /** Applies a doubt reported by another entry, unless one is active already. */
-  takeDoubt(nowMs: number, forMs: number): void {
+  applyPeerDoubt(nowMs: number, forMs: number): void {
     if (!this.canRaiseDoubts || this.isDoubted(nowMs)) return;
     const boundedMs = Math.min(MAX_DOUBT_MS, forMs);
     this.doubtUntilMs = nowMs + boundedMs;
--- a/packages/policy/src/repeatUse.ts
+++ b/packages/policy/src/repeatUse.ts
@@ -2,7 +2,7 @@
 const BUCKET_MS = 500;
 
 /** Requests and retries of one incarnation of an entry for one service in one bucket of time. */
-export interface RepeatPart {
+export interface RetryCountBucket {
   /** ID of the process incarnation. */
   readonly life: string;
   /** Number of the bucket within that incarnation. */
@@ -51,7 +51,7 @@
   }
 
   /** The buckets that changed since the last call. */
-  takeUnreported(nowMs: number): RepeatPart[] {
+  takeUnreported(nowMs: number): RetryCountBucket[] {
     this.evict(nowMs);
     const changed = [...this.unreportedKeys]
       .map((key) => this.parts.get(key))
@@ -61,7 +61,7 @@
   }
 
   /** Merges buckets known elsewhere; false if nothing of them is new. */
-  merge(parts: readonly RepeatPart[], nowMs: number): boolean {
+  merge(parts: readonly RetryCountBucket[], nowMs: number): boolean {
     this.evict(nowMs);
     let isChanged = false;
     for (const {life, part, agoMs, requests, repeats} of parts) {
@@ -102,7 +102,7 @@
   }
 
   /** All buckets that still count, in the form of a report. */
-  all(nowMs: number): RepeatPart[] {
+  all(nowMs: number): RetryCountBucket[] {
     this.evict(nowMs);
     return [...this.parts.values()].map((bucket) =>
       toReportedBucket(bucket, nowMs),
@@ -145,6 +145,6 @@
 function toReportedBucket(
   {atMs, ...counts}: Bucket,
   nowMs: number,
-): RepeatPart {
+): RetryCountBucket {
   return {...counts, agoMs: nowMs - atMs};
 }
--- a/packages/policy/src/retryBudgets.ts
+++ b/packages/policy/src/retryBudgets.ts
@@ -2,8 +2,8 @@
 import {retryRetentionMs, SharedRetryBudget} from './sharedRetryBudget.js';
 import type {BudgetSharing, RetryAllowance} from './sharedRetryBudget.js';
 import {PeakEntryCount} from './sharerCount.js';
-import type {Sharers} from './sharerCount.js';
-import type {RepeatPart} from './repeatUse.js';
+import type {FleetView} from './sharerCount.js';
+import type {RetryCountBucket} from './repeatUse.js';
 
 /**
  * If others last heard from an entry longer than this before its restart, it may have taken
@@ -12,33 +12,33 @@
 const MAX_UNHEARD_MS = 3_000;
 
 /** Requests and retries of an entry for one service. */
-export interface RetryUse {
+export interface ServiceRetryUse {
   readonly service: string;
-  readonly parts: readonly RepeatPart[];
+  readonly parts: readonly RetryCountBucket[];
 }
 
 /** Requests and retries of an entry as it reports them to others. */
-export interface ToldUse {
+export interface RetryUseReport {
   /** ID of the incarnation of its process. */
   readonly life: string;
   /** False if prior incarnations may have taken more retries. */
   readonly isComplete: boolean;
-  readonly uses: readonly RetryUse[];
+  readonly uses: readonly ServiceRetryUse[];
 }
 
 /** Reported use of prior incarnations of an entry, returned to it by another entry. */
-export interface FormerUse {
+export interface PriorUseReport {
   /** Time since the prior incarnation was last heard from. */
   readonly heardAgoMs: number;
   /** The highest number of entries that the reporter saw in the window. */
   readonly entryCount: number;
   /** False if more retries may have been taken. */
   readonly isComplete: boolean;
-  readonly uses: readonly RetryUse[];
+  readonly uses: readonly ServiceRetryUse[];
 }
 
 /** The incarnation of this process. */
-export interface OwnLife {
+export interface OwnIncarnation {
   readonly life: string;
   /** True if the deployment is new, so that there is no prior incarnation. */
   readonly isFirst: boolean;
@@ -52,7 +52,7 @@
   isReporting: boolean;
 }
 
-type ReportListener = (report: ToldUse) => void;
+type ReportListener = (report: RetryUseReport) => void;
 
 /**
  * The retry budgets of one entry for all services, and the use that entries report to one
@@ -68,9 +68,9 @@
   private hasPriorUse: boolean;
 
   constructor(
-    private readonly own: OwnLife,
+    private readonly own: OwnIncarnation,
     private readonly allowance: RetryAllowance,
-    sharers: Sharers,
+    sharers: FleetView,
     private readonly clock: Pick<Clock, 'nowMs'>,
   ) {
     const windowMs = (): number => allowance.retryWindowMs;
@@ -93,7 +93,7 @@
   }
 
   /** Calls `listener` with the report for other entries, before each retry is sent. */
-  onNews(listener: ReportListener): void {
+  onRetryUse(listener: ReportListener): void {
     this.listeners.push(listener);
   }
 
@@ -110,12 +110,12 @@
   }
 
   /** To be called when entries join or leave. */
-  noteEntries(): void {
+  noteEntryCount(): void {
     this.peakEntries.refresh();
   }
 
   /** All requests and retries of this entry, over all its incarnations. */
-  get ownUse(): ToldUse {
+  get ownReport(): RetryUseReport {
     return this.toReport(this.countsByService((budget) => budget.ownBuckets));
   }
 
@@ -123,7 +123,10 @@
    * Applies a report of another entry; the first one over a link is complete. Returns the use
    * of its prior incarnation, if that reported here.
    */
-  noteTold(instance: string, report: ToldUse): FormerUse | undefined {
+  notePeerReport(
+    instance: string,
+    report: RetryUseReport,
+  ): PriorUseReport | undefined {
     this.evictStalePeers();
     const known = this.peers.get(instance);
     const isRestarted = known !== undefined && known.life !== report.life;
@@ -138,29 +141,34 @@
   }
 
   /** Another entry is alive; ignored before its first report, as the incarnation is unknown. */
-  noteHeard(instance: string): void {
+  notePeerAlive(instance: string): void {
     const peer = this.peers.get(instance);
     if (peer?.isReporting) peer.heardAtMs = this.nowMs;
   }
 
   /** Another entry can no longer report. */
-  noteUnheard(instance: string): void {
+  notePeerLost(instance: string): void {
     const peer = this.peers.get(instance);
     if (peer !== undefined) peer.isReporting = false;
   }
 
   /** Applies the use of prior incarnations of this entry that another entry returned. */
-  noteFormer({heardAgoMs, entryCount, isComplete, uses}: FormerUse): void {
+  notePriorUse({
+    heardAgoMs,
+    entryCount,
+    isComplete,
+    uses,
+  }: PriorUseReport): void {
     this.peakEntries.note(entryCount);
     const news = uses.filter(({service, parts}) =>
       this.of(service).mergePriorUse(parts),
     );
     const unheardMs = heardAgoMs - this.ageMs;
     const isTrustworthy = isComplete && unheardMs <= MAX_UNHEARD_MS;
-    const wasKnown = this.isFormerUseKnown;
+    const wasKnown = this.isPriorUseKnown;
     this.hasPriorUse ||= isTrustworthy;
     // Entries that are already linked got an incomplete report.
-    if (news.length > 0 || wasKnown !== this.isFormerUseKnown) this.emit(news);
+    if (news.length > 0 || wasKnown !== this.isPriorUseKnown) this.emit(news);
   }
 
   private get nowMs(): number {
@@ -171,7 +179,7 @@
     return this.nowMs - this.startedAtMs;
   }
 
-  private priorUseOf(instance: string, known: PeerState): FormerUse {
+  private priorUseOf(instance: string, known: PeerState): PriorUseReport {
     return {
       heardAgoMs: this.nowMs - known.heardAtMs,
       entryCount: this.entryCount,
@@ -183,15 +191,15 @@
   private budgetSharing(): BudgetSharing {
     return {
       life: this.own.life,
-      isPriorUseKnown: () => this.isFormerUseKnown,
-      refreshEntryCount: () => this.noteEntries(),
+      isPriorUseKnown: () => this.isPriorUseKnown,
+      noteEntryCount: () => this.noteEntryCount(),
       entryCount: () => this.entryCount,
       reportingEntries: () => this.reportingEntries,
     };
   }
 
   /** After a window, retries of prior incarnations no longer count. */
-  get isFormerUseKnown(): boolean {
+  get isPriorUseKnown(): boolean {
     return this.hasPriorUse || this.ageMs > retryRetentionMs(this.allowance);
   }
 
@@ -202,20 +210,20 @@
   }
 
   private countsByService(
-    partsOf: (budget: SharedRetryBudget) => RepeatPart[],
-  ): RetryUse[] {
+    partsOf: (budget: SharedRetryBudget) => RetryCountBucket[],
+  ): ServiceRetryUse[] {
     return [...this.budgets]
       .map(([service, budget]) => ({service, parts: partsOf(budget)}))
       .filter(({parts}) => parts.length > 0);
   }
 
-  private emit(uses: readonly RetryUse[]): void {
+  private emit(uses: readonly ServiceRetryUse[]): void {
     for (const listener of this.listeners) listener(this.toReport(uses));
   }
 
-  private toReport(uses: readonly RetryUse[]): ToldUse {
+  private toReport(uses: readonly ServiceRetryUse[]): RetryUseReport {
     const {life} = this.own;
-    return {life, isComplete: this.isFormerUseKnown, uses};
+    return {life, isComplete: this.isPriorUseKnown, uses};
   }
 
   /** Drops entries that were not heard from for as long as their retries count. */
--- a/packages/policy/src/sharedRetryBudget.ts
+++ b/packages/policy/src/sharedRetryBudget.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@lilacledge/shared';
 import {RetryCounts} from './repeatUse.js';
-import type {RepeatPart} from './repeatUse.js';
+import type {RetryCountBucket} from './repeatUse.js';
 
 /** Share of the allowance that retries use, as reports between entries arrive with delay. */
 const RETRY_SHARE = 0.85;
@@ -26,7 +26,7 @@
   /** False while prior incarnations of this entry may have taken retries unknown here. */
   isPriorUseKnown(): boolean;
   /** Records the number of entries that are seen now. */
-  refreshEntryCount(): void;
+  noteEntryCount(): void;
   /** The highest number of entries seen in the window. */
   entryCount(): number;
   /** Entries that currently report their use to this one. */
@@ -57,25 +57,25 @@
     private readonly clock: Pick<Clock, 'nowMs'>,
     /** Called with the changed buckets before a retry is sent. */
     private readonly onRetryTaken: (
-      parts: readonly RepeatPart[],
+      parts: readonly RetryCountBucket[],
     ) => void = () => {},
   ) {
     this.ownCounts = this.newCounts();
   }
 
   noteRequest(): void {
-    this.sharing.refreshEntryCount();
+    this.sharing.noteEntryCount();
     this.ownCounts.noteRequest(this.sharing.life, this.clock.nowMs());
   }
 
   /** Whether a retry could be taken. */
-  get hasRoom(): boolean {
+  get hasCapacity(): boolean {
     return this.used + 1 <= this.allowed;
   }
 
   /** Takes one retry from the budget; false if it is exhausted. */
   tryTake(): boolean {
-    return this.hasRoom && this.takeRetry();
+    return this.hasCapacity && this.takeRetry();
   }
 
   /**
@@ -99,22 +99,22 @@
   }
 
   /** Buckets of this entry over all its incarnations. */
-  get ownBuckets(): RepeatPart[] {
+  get ownBuckets(): RetryCountBucket[] {
     return this.ownCounts.all(this.clock.nowMs());
   }
 
   /** Buckets that another entry reported. */
-  bucketsOf(instance: string): RepeatPart[] {
+  bucketsOf(instance: string): RetryCountBucket[] {
     return this.peerCounts.get(instance)?.all(this.clock.nowMs()) ?? [];
   }
 
   /** Merges reports of prior incarnations of this entry; false if nothing is new. */
-  mergePriorUse(parts: readonly RepeatPart[]): boolean {
+  mergePriorUse(parts: readonly RetryCountBucket[]): boolean {
     return this.ownCounts.merge(parts, this.clock.nowMs());
   }
 
   /** Merges the reported buckets of another entry. */
-  mergePeerUse(instance: string, parts: readonly RepeatPart[]): void {
+  mergePeerUse(instance: string, parts: readonly RetryCountBucket[]): void {
     const known = this.peerCounts.get(instance) ?? this.newCounts();
     this.peerCounts.set(instance, known);
     known.merge(parts, this.clock.nowMs());
--- a/packages/policy/src/sharerCount.ts
+++ b/packages/policy/src/sharerCount.ts
@@ -1,7 +1,7 @@
 import type {Clock} from '@lilacledge/shared';
 
 /** The entries that share the budgets, as this entry sees them. */
-export interface Sharers {
+export interface FleetView {
   /** Number of entries that serve callers, including this one. */
   entries(): number;
   /** False while the store is unreachable: entries that are missing may still run. */
@@ -23,7 +23,7 @@
   private samples: Sample[] = [];
 
   constructor(
-    private readonly fleet: Sharers,
+    private readonly fleet: FleetView,
     private readonly windowMs: () => number,
     private readonly clock: Pick<Clock, 'nowMs'>,
   ) {}
--- a/packages/policy/src/statedLimit.ts
+++ b/packages/policy/src/statedLimit.ts
@@ -1,5 +1,5 @@
 /** The rate limit that the head of a response announces. */
-export type LimitStatement =
+export type LimitAnnouncement =
   | {readonly kind: 'none'}
   /** Requests per second from all entries together. */
   | {readonly kind: 'stated'; readonly perS: number}
@@ -16,7 +16,7 @@
 export type LimitChange = (typeof LimitChange)[keyof typeof LimitChange];
 
 /** Times of one response, on the monotonic clock. */
-export interface AnswerTimes {
+export interface ResponseTimes {
   readonly sentMs: number;
   readonly nowMs: number;
   /** True for a rejection, which does not end the limit by announcing none. */
@@ -24,7 +24,7 @@
 }
 
 /** State of a limit as entries report it to one another. */
-export interface ToldLimit {
+export interface PeerLimitReport {
   /** Undefined once the endpoint announces no limit. */
   readonly perS?: number;
   readonly ageMs: number;
@@ -35,7 +35,7 @@
 }
 
 /** The entry that reports. */
-export interface LimitTeller {
+export interface LimitReporter {
   readonly self: string;
   /** Unix time; orders reports of a restarted entry after those of its prior incarnation. */
   readonly wallMs: number;
@@ -74,7 +74,7 @@
  * and relies on reports. Reports carry a version from the entry that received the response:
  * ordered by time of arrival, a begin and an end that cross would replace each other forever.
  */
-export class StatedLimit {
+export class AnnouncedLimit {
   private stated: CurrentLimit | undefined;
   private startedAtMs = -Infinity;
   private endedAtMs = -Infinity;
@@ -108,9 +108,9 @@
     return this.stated !== undefined && nowMs > this.stated.heardMs + STALE_MS;
   }
 
-  noteAnswer(
-    announcement: LimitStatement,
-    {sentMs, nowMs, isRejection}: AnswerTimes,
+  noteResponse(
+    announcement: LimitAnnouncement,
+    {sentMs, nowMs, isRejection}: ResponseTimes,
   ): LimitChange {
     switch (announcement.kind) {
       case 'unreadable':
@@ -126,7 +126,10 @@
   }
 
   /** Applies a report of another entry; undefined if it is not newer. */
-  noteTold(peer: ToldLimit, nowMs: number): LimitChange | undefined {
+  notePeerReport(
+    peer: PeerLimitReport,
+    nowMs: number,
+  ): LimitChange | undefined {
     if (!this.isNewer(peer)) return undefined;
     this.version = peer.version;
     this.origin = peer.origin;
@@ -137,28 +140,28 @@
   }
 
   /** The report to send after a response to this entry; undefined if none is due. */
-  newsOf(
+  nextReport(
     change: LimitChange,
     nowMs: number,
-    {self, wallMs}: LimitTeller,
-  ): ToldLimit | undefined {
+    {self, wallMs}: LimitReporter,
+  ): PeerLimitReport | undefined {
     const isDue = nowMs >= this.reportedAtMs + MIN_REPORT_INTERVAL_MS[change];
     const isKnown = this.stated !== undefined || change === LimitChange.ENDED;
     if (!isDue || !isKnown) return undefined;
     this.reportedAtMs = nowMs;
     this.version = Math.max(this.version + 1, Math.round(wallMs));
     this.origin = self;
-    return this.asTold(nowMs);
+    return this.toReport(nowMs);
   }
 
   /** The current state as a report. */
-  asTold(nowMs: number): ToldLimit {
+  toReport(nowMs: number): PeerLimitReport {
     const {stated, version, origin} = this;
     const ageMs = nowMs - (stated?.heardMs ?? this.endedAtMs);
     return {perS: stated?.perS, ageMs, version, origin};
   }
 
-  private isNewer({version, origin}: ToldLimit): boolean {
+  private isNewer({version, origin}: PeerLimitReport): boolean {
     if (version !== this.version) return version > this.version;
     return origin > this.origin;
   }
--- a/packages/policy/src/suspectPlace.ts
+++ b/packages/policy/src/suspectPlace.ts
@@ -1,5 +1,5 @@
 /** An endpoint that can take a suspected request. */
-export interface SuspectPlace {
+export interface TrialCandidate {
   /** Memory of the work that a crash of the endpoint would lose. */
   readonly usedTokens: number;
   /** True while the endpoint is avoided because of its own failures. */
@@ -14,7 +14,7 @@
  * crash counts towards its quarantine. A longer wait for the first event costs only the
  * request itself, which is less likely than others to get one.
  */
-export function suspectPlace<T extends SuspectPlace>(
+export function chooseTrialEndpoint<T extends TrialCandidate>(
   candidates: readonly T[],
 ): T | undefined {
   const trusted = candidates.filter(({isDoubted}) => !isDoubted);
--- a/packages/policy/src/watchPace.ts
+++ b/packages/policy/src/watchPace.ts
@@ -1,4 +1,4 @@
-import {GATHER_SHARE} from './leaveBound.js';
+import {CHANGE_BATCHING_SHARE} from './leaveBound.js';
 
 /** Completeness of a process's view of the endpoints. */
 export const ViewState = {
@@ -28,9 +28,9 @@
 export function gatherMs(drainMs: number, view: ViewState): number {
   switch (view) {
     case ViewState.SETTLED:
-      return drainMs * GATHER_SHARE;
+      return drainMs * CHANGE_BATCHING_SHARE;
     case ViewState.UNSETTLED:
-      return Math.min(MAX_RECOVERING_DELAY_MS, drainMs * GATHER_SHARE);
+      return Math.min(MAX_RECOVERING_DELAY_MS, drainMs * CHANGE_BATCHING_SHARE);
     case ViewState.LACKING:
       return 0;
   }
--- a/packages/relay/src/config/storeMirror.ts
+++ b/packages/relay/src/config/storeMirror.ts
@@ -1,4 +1,4 @@
-import type {StoreReturn} from '@lilacledge/policy';
+import type {StoreRecovery} from '@lilacledge/policy';
 import {assertNever, backoffMs, sleep} from '@lilacledge/shared';
 import type {Clock, Random} from '@lilacledge/shared';
 import type {DecisionLogger} from '../log/boundedLog.js';
@@ -39,7 +39,7 @@
 /** Handles changes of the store's availability to this process. */
 export interface StoreAvailabilityListener {
   /** The store answers again. Called before the changes made meanwhile are delivered. */
-  returned(recovery: StoreReturn): void;
+  returned(recovery: StoreRecovery): void;
   /** A call to the store failed. */
   lost(): void;
 }
--- a/packages/relay/src/endpoints/__tests__/chooseEndpoint.test.ts
+++ b/packages/relay/src/endpoints/__tests__/chooseEndpoint.test.ts
@@ -52,16 +52,16 @@
   it('avoids an endpoint that failed repeatedly, until some time has passed', () => {
     const [a, b] = [endpoint('a'), endpoint('b')];
     b.outstanding = 5;
-    a.health.noteSilence(0, false);
-    a.health.noteSilence(0, false);
+    a.health.noteNoResponse(0, false);
+    a.health.noteNoResponse(0, false);
     expect(choose([a, b], 10)).toBe('b');
     expect(choose([a, b], 5_000)).toBe('a');
   });
 
   it('chooses a doubted endpoint if there is no other', () => {
     const a = endpoint('a');
-    a.health.noteSilence(0, false);
-    a.health.noteSilence(0, false);
+    a.health.noteNoResponse(0, false);
+    a.health.noteNoResponse(0, false);
     expect(choose([a], 10)).toBe('a');
   });
 
--- a/packages/relay/src/endpoints/__tests__/endpointDirectory.test.ts
+++ b/packages/relay/src/endpoints/__tests__/endpointDirectory.test.ts
@@ -18,8 +18,8 @@
 });
 
 function resetTwice(id: string): void {
-  directory.get(id)!.health.noteSilence(0, true);
-  directory.get(id)!.health.noteSilence(0, true);
+  directory.get(id)!.health.noteNoResponse(0, true);
+  directory.get(id)!.health.noteNoResponse(0, true);
 }
 
 describe('EndpointDirectory', () => {
@@ -30,13 +30,13 @@
     });
 
     it('forwards a doubt received from a peer', () => {
-      directory.get('a')!.health.takeDoubt(0, 1_500);
+      directory.get('a')!.health.applyPeerDoubt(0, 1_500);
       expect(reported).toEqual(['a']);
     });
 
     it('does not report missing responses, as only its own network path may be broken', () => {
-      directory.get('a')!.health.noteSilence(0, false);
-      directory.get('a')!.health.noteSilence(0, false);
+      directory.get('a')!.health.noteNoResponse(0, false);
+      directory.get('a')!.health.noteNoResponse(0, false);
       expect(reported).toEqual([]);
     });
 
--- a/packages/relay/src/endpoints/__tests__/incarnations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/incarnations.test.ts
@@ -63,7 +63,7 @@
     ],
     [
       'failed',
-      () => directory.get('a')!.health.noteSilence(clock.nowMs(), true, 1),
+      () => directory.get('a')!.health.noteNoResponse(clock.nowMs(), true, 1),
     ],
   ])('is a candidate after its former incarnation %s', async (_name, end) => {
     register();
@@ -102,7 +102,7 @@
     directory.onDoubtToTell(({id}) => reported.push(id));
     const former = register();
     const restarted = restart();
-    former.health.noteSilence(clock.nowMs(), true, 1);
+    former.health.noteNoResponse(clock.nowMs(), true, 1);
     expect(reported).toEqual([]);
     expect(restarted.health.isDoubted(clock.nowMs())).toBe(false);
   });
--- a/packages/relay/src/endpoints/__tests__/limitNews.test.ts
+++ b/packages/relay/src/endpoints/__tests__/limitNews.test.ts
@@ -1,4 +1,4 @@
-import type {LimitStatement} from '@lilacledge/policy';
+import type {LimitAnnouncement} from '@lilacledge/policy';
 import {createRandom, VirtualClock} from '@lilacledge/shared';
 import {beforeEach, describe, expect, it} from 'vitest';
 import {testRecord} from '../../__tests__/testRecord.js';
@@ -6,7 +6,7 @@
 import {EndpointDirectory} from '../endpointDirectory.js';
 import {EndpointStatements} from '../endpointStatements.js';
 
-const NO_LIMIT: LimitStatement = {kind: 'none'};
+const NO_LIMIT: LimitAnnouncement = {kind: 'none'};
 
 /** Delay of a message between entries: the minimum and the range of a random part. */
 const MIN_DELAY_MS = 1;
@@ -57,7 +57,7 @@
   }
 }
 
-function answer(index: number, limit: LimitStatement): void {
+function answer(index: number, limit: LimitAnnouncement): void {
   const {statements, directory} = entries[index]!;
   statements.noteAnswer(
     directory.get('a')!,
--- a/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
+++ b/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
@@ -1,4 +1,4 @@
-import type {LimitStatement} from '@lilacledge/policy';
+import type {LimitAnnouncement} from '@lilacledge/policy';
 import {createRandom, VirtualClock} from '@lilacledge/shared';
 import {beforeEach, describe, expect, it} from 'vitest';
 import {testRecord} from '../../__tests__/testRecord.js';
@@ -198,7 +198,7 @@
   /** Lets all entries send as often as they may; returns the sends to the endpoint. */
   async function sendContinuously(
     entries: readonly Entry[],
-    statement: () => LimitStatement,
+    statement: () => LimitAnnouncement,
   ): Promise<Sent[]> {
     const random = createRandom(11);
     for (const entry of entries) {
--- a/packages/relay/src/endpoints/__tests__/switchedOff.test.ts
+++ b/packages/relay/src/endpoints/__tests__/switchedOff.test.ts
@@ -23,7 +23,7 @@
     'doubts: %s decides if a reset causes a doubt',
     (doubts) => {
       const endpoint = endpointWith({doubts});
-      endpoint.health.noteSilence(0, true, 1);
+      endpoint.health.noteNoResponse(0, true, 1);
       expect(endpoint.health.isDoubted(1)).toBe(doubts);
     },
   );
--- a/packages/relay/src/endpoints/chooseEndpoint.ts
+++ b/packages/relay/src/endpoints/chooseEndpoint.ts
@@ -78,7 +78,7 @@
   }
   if (record.zone !== zone) score += OTHER_ZONE_PENALTY_SLOTS;
   if (endpoint.isWarming(nowMs)) score += WARMING_PENALTY_SLOTS;
-  score += health.failureChance * FAILURE_PENALTY_SLOTS;
+  score += health.failureProbability * FAILURE_PENALTY_SLOTS;
   if (health.isDoubted(nowMs)) score += DOUBT_PENALTY_SLOTS;
   return score;
 }
--- a/packages/relay/src/endpoints/chooseEngine.ts
+++ b/packages/relay/src/endpoints/chooseEngine.ts
@@ -145,7 +145,7 @@
     if (use.reportAgeMs === undefined) score += UNREPORTED_PENALTY_MS;
   }
   if (endpoint.isWarming(nowMs)) score += WARMING_PENALTY_MS;
-  score += endpoint.health.failureChance * FAILURE_PENALTY_MS;
+  score += endpoint.health.failureProbability * FAILURE_PENALTY_MS;
   if (endpoint.health.isDoubted(nowMs)) score += DOUBT_PENALTY_MS;
   return score;
 }
--- a/packages/relay/src/endpoints/endpoint.ts
+++ b/packages/relay/src/endpoints/endpoint.ts
@@ -1,5 +1,5 @@
-import {lastWorkEndsMs, OutcomeHealth} from '@lilacledge/policy';
-import type {Doubt, LeaveNews} from '@lilacledge/policy';
+import {lastResortUntilMs, PassiveHealth} from '@lilacledge/policy';
+import type {Doubt, LeaveNotice} from '@lilacledge/policy';
 import type {CancelTimer} from '@lilacledge/shared';
 import {EndpointState} from '../model/index.js';
 import type {EndpointRecord, EngineLoad} from '../model/index.js';
@@ -30,7 +30,7 @@
 
 /** State that this process keeps of one incarnation of an endpoint. */
 export class Endpoint {
-  readonly health: OutcomeHealth;
+  readonly health: PassiveHealth;
   /** Open requests of this process to the endpoint. */
   outstanding = 0;
   /** Store revision of its registration. */
@@ -57,7 +57,7 @@
   /** True if the store shows that it is leaving. */
   private isLeavingInStore = false;
   /** Leave notices from the store and from other processes. */
-  private leaveNotices: readonly LeaveNews[] = [];
+  private leaveNotices: readonly LeaveNotice[] = [];
   /** When it stops being cold, according to its registration. */
   private warmUntilMs: number;
   /** When its registration last reappeared after it had expired. */
@@ -73,7 +73,7 @@
     readonly terms = new AnnouncedState(),
   ) {
     const {doubts} = switches;
-    this.health = new OutcomeHealth((doubt) => onDoubt(this, doubt), doubts);
+    this.health = new PassiveHealth((doubt) => onDoubt(this, doubt), doubts);
     this.warmUntilMs = nowMs + record.warmupLeftMs;
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** The first leave notice of each kind. The endpoint's own announcement is never reverted. */
-  private get allLeaveNotices(): readonly LeaveNews[] {
+  private get allLeaveNotices(): readonly LeaveNotice[] {
     const {leavingSinceMs: atMs} = this.terms;
     if (atMs === undefined) return this.leaveNotices;
     return [...this.leaveNotices, {kind: 'told', atMs}];
@@ -107,7 +107,7 @@
     if (this.hasInvalidRegistration || this.hasEnded) return false;
     if (!this.zones.mayGetWork(this.record.zone, nowMs)) return false;
     return this.allLeaveNotices.every(
-      (notice) => nowMs < lastWorkEndsMs(notice, drainMs),
+      (notice) => nowMs < lastResortUntilMs(notice, drainMs),
     );
   }
 
@@ -177,7 +177,7 @@
     return isFirst;
   }
 
-  private addLeaveNotice(notice: LeaveNews): boolean {
+  private addLeaveNotice(notice: LeaveNotice): boolean {
     const isFirst = !this.isLeaving;
     const isKnown = this.leaveNotices.some(({kind}) => kind === notice.kind);
     if (!isKnown) this.leaveNotices = [...this.leaveNotices, notice];
--- a/packages/relay/src/endpoints/endpointDirectory.ts
+++ b/packages/relay/src/endpoints/endpointDirectory.ts
@@ -1,5 +1,5 @@
-import {DoubtCause, Succession, ViewState} from '@lilacledge/policy';
-import type {Doubt, StoreReturn} from '@lilacledge/policy';
+import {DoubtCause, IncarnationOrder, ViewState} from '@lilacledge/policy';
+import type {Doubt, StoreRecovery} from '@lilacledge/policy';
 import {assertNever} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
 import type {DecisionLogger} from '../log/boundedLog.js';
@@ -138,7 +138,7 @@
    * Records that the store is available again. Registrations may be missing for a while;
    * `settleMs` after the end of the outage, the usual bounds apply again.
    */
-  noteStoreReturned(recovery: StoreReturn, settleMs: number): void {
+  noteStoreReturned(recovery: StoreRecovery, settleMs: number): void {
     this.contact.noteAvailable(recovery, settleMs);
   }
 
@@ -161,23 +161,23 @@
     if (known !== undefined && revision < known.revision) return;
     const order = this.incarnations.compareWithKnown(known, record);
     switch (order) {
-      case Succession.SAME:
+      case IncarnationOrder.SAME:
         if (known === undefined) this.add(record, revision, unchangedAtMs);
         else this.refresh(known, record, revision, unchangedAtMs);
         return;
-      case Succession.LATER:
+      case IncarnationOrder.LATER:
         if (known !== undefined) this.end(known);
         this.add(record, revision, unchangedAtMs);
         return;
-      case Succession.FORMER:
-      case Succession.UNPROVEN:
+      case IncarnationOrder.FORMER:
+      case IncarnationOrder.UNPROVEN:
         this.log.warn('endpoint.outdated', {
           endpoint: id,
           cause: order,
           startedAtMs: record.startedAtMs,
           knownStartedAtMs: known?.record.startedAtMs,
         });
-        if (order === Succession.UNPROVEN) this.invalidate(id);
+        if (order === IncarnationOrder.UNPROVEN) this.invalidate(id);
         return;
       default:
         assertNever(order);
--- a/packages/relay/src/endpoints/endpointStatements.ts
+++ b/packages/relay/src/endpoints/endpointStatements.ts
@@ -1,5 +1,5 @@
 import {LimitChange} from '@lilacledge/policy';
-import type {ToldLimit} from '@lilacledge/policy';
+import type {PeerLimitReport} from '@lilacledge/policy';
 import type {Clock} from '@lilacledge/shared';
 import type {DecisionLogger} from '../log/boundedLog.js';
 import type {AnswerHead} from '../ports.js';
@@ -13,7 +13,10 @@
 >;
 
 /** Called when the rate limit that an endpoint announces begins, changes or ends. */
-export type LimitListener = (endpoint: Endpoint, report: ToldLimit) => void;
+export type LimitListener = (
+  endpoint: Endpoint,
+  report: PeerLimitReport,
+) => void;
 
 /** Applies the state that endpoints announce in their answers, per incarnation. */
 export class EndpointStatements {
@@ -39,19 +42,22 @@
     const nowMs = this.clock.nowMs();
     const times = {sentMs, nowMs, isRejection: isNotRun};
     const known = endpoint.terms.limit;
-    const change = known.noteAnswer(limit, times);
+    const change = known.noteResponse(limit, times);
     this.logLimit(endpoint, change);
     const {self} = this;
     const wallMs = this.clock.wallMs();
-    const report = known.newsOf(change, nowMs, {self, wallMs});
+    const report = known.nextReport(change, nowMs, {self, wallMs});
     if (report !== undefined) this.notifyListeners(endpoint, report);
     if (saysLeaving) this.endpoints.noteLeaveAnnounced(endpoint);
     if (restMs !== undefined) this.noteBackoff(endpoint, restMs);
   }
 
   /** Applies a rate limit, or its end, received from another entry. */
-  noteLimitTold(endpoint: Endpoint, report: ToldLimit): void {
-    const change = endpoint.terms.limit.noteTold(report, this.clock.nowMs());
+  noteLimitTold(endpoint: Endpoint, report: PeerLimitReport): void {
+    const change = endpoint.terms.limit.notePeerReport(
+      report,
+      this.clock.nowMs(),
+    );
     if (change === undefined) return;
     this.logLimit(endpoint, change);
     this.notifyListeners(endpoint, report);
@@ -63,11 +69,11 @@
   }
 
   /** Rate limits that apply now, as reported to other entries. */
-  get limits(): Array<[Endpoint, ToldLimit]> {
+  get limits(): Array<[Endpoint, PeerLimitReport]> {
     const nowMs = this.clock.nowMs();
     return [...this.endpoints.all()]
       .filter(({terms: state}) => state.limit.perS !== undefined)
-      .map((endpoint) => [endpoint, endpoint.terms.limit.asTold(nowMs)]);
+      .map((endpoint) => [endpoint, endpoint.terms.limit.toReport(nowMs)]);
   }
 
   private logLimit(endpoint: Endpoint, change: LimitChange): void {
@@ -81,12 +87,12 @@
     });
   }
 
-  private notifyListeners(endpoint: Endpoint, report: ToldLimit): void {
+  private notifyListeners(endpoint: Endpoint, report: PeerLimitReport): void {
     for (const listener of this.limitListeners) listener(endpoint, report);
   }
 
   private noteBackoff(endpoint: Endpoint, restMs: number): void {
-    endpoint.terms.rest.noteAsked(restMs, this.clock.nowMs());
+    endpoint.terms.rest.noteRequest(restMs, this.clock.nowMs());
     this.log.info('endpoint.askedRest', {
       endpoint: endpoint.id,
       service: endpoint.record.service,
--- a/packages/relay/src/endpoints/endpointTerms.ts
+++ b/packages/relay/src/endpoints/endpointTerms.ts
@@ -1,11 +1,11 @@
-import {AskedRest, StatedLimit} from '@lilacledge/policy';
+import {RequestedBackoff, AnnouncedLimit} from '@lilacledge/policy';
 
 /** State that one incarnation of an endpoint announces in its answers. */
 export class AnnouncedState {
   /** Rate limit for all entries together. */
-  readonly limit = new StatedLimit();
+  readonly limit = new AnnouncedLimit();
   /** Time for which this entry must send it nothing. */
-  readonly rest = new AskedRest();
+  readonly rest = new RequestedBackoff();
   /** False while the directory does not hold the endpoint. */
   isInUse = true;
   private leaving: number | undefined;
--- a/packages/relay/src/endpoints/lives.ts
+++ b/packages/relay/src/endpoints/lives.ts
@@ -1,5 +1,5 @@
-import {Succession, succession} from '@lilacledge/policy';
-import type {Life} from '@lilacledge/policy';
+import {IncarnationOrder, compareIncarnations} from '@lilacledge/policy';
+import type {Incarnation} from '@lilacledge/policy';
 import type {Clock} from '@lilacledge/shared';
 import {EndpointState, formatAddress} from '../model/index.js';
 import type {EndpointRecord} from '../model/index.js';
@@ -15,7 +15,7 @@
 /** Distinguishes incarnations of endpoints, including those recently forgotten. */
 export class EndpointIncarnations {
   /** Last incarnation of each id that is no longer in the directory. */
-  private readonly former = new Map<string, Life>();
+  private readonly former = new Map<string, Incarnation>();
   /** State announced in answers, by id and start time. */
   private readonly announced = new Map<string, AnnouncedState>();
 
@@ -25,17 +25,20 @@
   compareWithKnown(
     known: Endpoint | undefined,
     record: EndpointRecord,
-  ): Succession {
+  ): IncarnationOrder {
     const incarnation =
       known === undefined ? this.former.get(record.id) : incarnationOf(known);
-    if (incarnation === undefined) return Succession.LATER;
-    const order = succession(incarnation, registeredIncarnation(record));
+    if (incarnation === undefined) return IncarnationOrder.LATER;
+    const order = compareIncarnations(
+      incarnation,
+      registeredIncarnation(record),
+    );
     // Without start times, only a registration after a removal shows a restart.
     const isNew =
-      order === Succession.FORMER &&
+      order === IncarnationOrder.FORMER &&
       record.startedAtMs === undefined &&
       known?.removedAtMs !== undefined;
-    return isNew ? Succession.LATER : order;
+    return isNew ? IncarnationOrder.LATER : order;
   }
 
   /** State announced by an incarnation, which is kept while its registration is missing. */
@@ -74,12 +77,12 @@
   return `${id} ${startedAtMs ?? ''}`;
 }
 
-function incarnationOf({record, hasReportedLeave}: Endpoint): Life {
+function incarnationOf({record, hasReportedLeave}: Endpoint): Incarnation {
   return {...registeredIncarnation(record), isLeaving: hasReportedLeave};
 }
 
-function registeredIncarnation(record: EndpointRecord): Life {
+function registeredIncarnation(record: EndpointRecord): Incarnation {
   const {startedAtMs, service, address, state} = record;
-  const place = `${service} ${formatAddress(address)}`;
-  return {startedAtMs, place, isLeaving: state === EndpointState.DRAINING};
+  const location = `${service} ${formatAddress(address)}`;
+  return {startedAtMs, location, isLeaving: state === EndpointState.DRAINING};
 }
--- a/packages/relay/src/endpoints/sendLimits.ts
+++ b/packages/relay/src/endpoints/sendLimits.ts
@@ -73,7 +73,7 @@
   /** Time until this entry may send to the endpoint; 0 if it may send now. */
   freeInMs(endpoint: Endpoint): number {
     return Math.max(
-      endpoint.terms.rest.leftMs(this.clock.nowMs()),
+      endpoint.terms.rest.remainingMs(this.clock.nowMs()),
       this.coldWaitMs(endpoint),
       this.announcedWaitMs(endpoint),
     );
--- a/packages/relay/src/endpoints/storeContact.ts
+++ b/packages/relay/src/endpoints/storeContact.ts
@@ -1,5 +1,5 @@
-import {lapseEndsMs} from '@lilacledge/policy';
-import type {StoreReturn} from '@lilacledge/policy';
+import {expiredKeptUntilMs} from '@lilacledge/policy';
+import type {StoreRecovery} from '@lilacledge/policy';
 import type {Clock} from '@lilacledge/shared';
 
 /** Registrations may still be missing for this long after the store became available. */
@@ -47,9 +47,9 @@
   }
 
   /** Records the end of an outage; `settleMs` later, the usual bounds apply again. */
-  noteAvailable(recovery: StoreReturn, settleMs: number): void {
+  noteAvailable(recovery: StoreRecovery, settleMs: number): void {
     this.availableAtMs = recovery.atMs;
-    const endsMs = lapseEndsMs(recovery, settleMs);
+    const endsMs = expiredKeptUntilMs(recovery, settleMs);
     this.expiryGraceEndsAtMs = Math.max(this.expiryGraceEndsAtMs, endsMs);
   }
 
--- a/packages/relay/src/endpoints/zoneEvacuations.ts
+++ b/packages/relay/src/endpoints/zoneEvacuations.ts
@@ -1,5 +1,5 @@
-import {lastWorkEndsMs} from '@lilacledge/policy';
-import type {LeaveNews} from '@lilacledge/policy';
+import {lastResortUntilMs} from '@lilacledge/policy';
+import type {LeaveNotice} from '@lilacledge/policy';
 import type {Clock} from '@lilacledge/shared';
 import type {DecisionLogger} from '../log/boundedLog.js';
 
@@ -39,7 +39,7 @@
 interface KnownZone {
   readonly status: ZoneStatus;
   /** First notice of the current order from each kind of source. */
-  readonly notices: readonly LeaveNews[];
+  readonly notices: readonly LeaveNotice[];
   readonly endedAtMs?: number;
 }
 
@@ -87,7 +87,9 @@
   mayGetWork(zone: string, nowMs: number): boolean {
     const notices = this.zones.get(zone)?.notices ?? [];
     const boundMs = this.boundMs();
-    return notices.every((notice) => nowMs < lastWorkEndsMs(notice, boundMs));
+    return notices.every(
+      (notice) => nowMs < lastResortUntilMs(notice, boundMs),
+    );
   }
 
   evacuationEndedAtMs(zone: string): number | undefined {
@@ -133,7 +135,7 @@
   private applyStatus(
     status: ZoneStatus,
     source: EvacuationSource,
-    notice?: LeaveNews,
+    notice?: LeaveNotice,
   ): void {
     const known = this.zones.get(status.zone);
     const wasEvacuated = known?.status.isEvacuated ?? false;
@@ -153,7 +155,7 @@
   private notifyListeners(
     status: ZoneStatus,
     source: EvacuationSource,
-    notice: LeaveNews | undefined,
+    notice: LeaveNotice | undefined,
   ): void {
     const nowMs = this.clock.nowMs();
     const {zone, revision, isEvacuated} = status;
--- a/packages/relay/src/followStore.ts
+++ b/packages/relay/src/followStore.ts
@@ -1,4 +1,4 @@
-import {gatherMs, storeWatchMs} from '@lilacledge/policy';
+import {gatherMs, storeWatchTimeoutMs} from '@lilacledge/policy';
 import type {Clock, Random} from '@lilacledge/shared';
 import {ConfigFollower} from './config/configFollower.js';
 import type {ConfigFollowing} from './config/configFollower.js';
@@ -150,7 +150,7 @@
     log,
     pace: {
       get waitMs() {
-        return storeWatchMs(settings.settleMs);
+        return storeWatchTimeoutMs(settings.settleMs);
       },
       gatherMs: 0,
     },
@@ -192,7 +192,7 @@
     random,
     log,
     // Peers don't justify a longer wait: a fault that stalls this watch may stall theirs too.
-    waitMs: () => storeWatchMs(settings.settleMs),
+    waitMs: () => storeWatchTimeoutMs(settings.settleMs),
     applyBoundMs: () => settings.configApplyMs,
     written: (value) => config.adopt(value, ConfigSource.STORE),
     deleted: () => log.error('config.deleted'),
@@ -206,7 +206,7 @@
   const {config, endpoints, settings} = options;
   return {
     get waitMs() {
-      return storeWatchMs(settings.settleMs);
+      return storeWatchTimeoutMs(settings.settleMs);
     },
     get gatherMs() {
       const services = config.current?.config.services ?? [];
--- a/packages/relay/src/peers/entryPeers.ts
+++ b/packages/relay/src/peers/entryPeers.ts
@@ -180,7 +180,7 @@
   }
 
   private handleFleetChange(): void {
-    this.context.retryBudgets.noteEntries();
+    this.context.retryBudgets.noteEntryCount();
     this.membershipNotifier.changed();
     this.cancelPlan ??= this.context.clock.after(PLAN_DELAY_MS, () => {
       this.cancelPlan = undefined;
@@ -306,7 +306,7 @@
     this.configFetcher.notePeerClosed(peer);
     if (endpointAddress === undefined) {
       const {retryBudgets} = this.context;
-      if (!this.isLinkedTo(instance)) retryBudgets.noteUnheard(instance);
+      if (!this.isLinkedTo(instance)) retryBudgets.notePeerLost(instance);
       if (this.members.noteLinkClosed(instance)) this.handleFleetChange();
       return;
     }
@@ -322,7 +322,7 @@
    */
   private noteMessageReceived({hello}: Peer, {type}: PeerMessage): void {
     if (type === 'retryUse') return;
-    this.context.retryBudgets.noteHeard(hello.instance);
+    this.context.retryBudgets.notePeerAlive(hello.instance);
   }
 
   private handleMessage(peer: Peer, message: PeerMessage): void {
--- a/packages/relay/src/peers/passedOnNews.ts
+++ b/packages/relay/src/peers/passedOnNews.ts
@@ -1,4 +1,4 @@
-import type {ToldLimit} from '@lilacledge/policy';
+import type {PeerLimitReport} from '@lilacledge/policy';
 import type {ConfigKeeper} from '../config/configKeeper.js';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import type {RelayContext} from '../requests/relayContext.js';
@@ -49,7 +49,7 @@
   suspicions.onChange((suspicion) => {
     broadcast({type: 'suspicion', ...suspicion});
   });
-  retryBudgets.onNews((use) => {
+  retryBudgets.onRetryUse((use) => {
     broadcast({type: 'retryUse', ...use});
   });
 }
@@ -66,7 +66,7 @@
 ): PeerMessage[] {
   return [
     // First, as it identifies the sender's incarnation, to which the other messages belong.
-    {type: 'retryUse', ...retryBudgets.ownUse},
+    {type: 'retryUse', ...retryBudgets.ownReport},
     {type: 'configNotice', version: config.version},
     ...statements.limits.map(([endpoint, limit]) =>
       limitNotice(endpoint, limit),
@@ -80,7 +80,10 @@
   ];
 }
 
-function limitNotice({id, record}: Endpoint, limit: ToldLimit): PeerMessage {
+function limitNotice(
+  {id, record}: Endpoint,
+  limit: PeerLimitReport,
+): PeerMessage {
   const {startedAtMs} = record;
   return {type: 'endpointLimit', endpointId: id, startedAtMs, ...limit};
 }
--- a/packages/relay/src/peers/peerMessages.ts
+++ b/packages/relay/src/peers/peerMessages.ts
@@ -1,8 +1,8 @@
 import type {
-  FormerUse,
+  PriorUseReport,
   Suspicion,
-  ToldLimit,
-  ToldUse,
+  PeerLimitReport,
+  RetryUseReport,
 } from '@lilacledge/policy';
 import type {ZoneStatus} from '../endpoints/zoneEvacuations.js';
 import type {ZoneLoad} from '../endpoints/zoneLoads.js';
@@ -155,7 +155,7 @@
 }
 
 /** The rate limit that an endpoint announces in its answers, as known to the sender. */
-export interface EndpointLimitNotice extends ToldLimit {
+export interface EndpointLimitNotice extends PeerLimitReport {
   readonly type: 'endpointLimit';
   readonly endpointId: string;
   /** Unix start time of the incarnation that announced it. */
@@ -173,12 +173,12 @@
 }
 
 /** Requests and retries that the sender has counted; the first on each link is complete. */
-export interface RetryUseNotice extends ToldUse {
+export interface RetryUseNotice extends RetryUseReport {
   readonly type: 'retryUse';
 }
 
 /** Retry use of the receiver's previous incarnations, as remembered by the sender. */
-export interface FormerRetryUse extends FormerUse {
+export interface FormerRetryUse extends PriorUseReport {
   readonly type: 'formerRetryUse';
 }
 
--- a/packages/relay/src/peers/receivedNews.ts
+++ b/packages/relay/src/peers/receivedNews.ts
@@ -52,7 +52,7 @@
       applyRetryUse(context, peer, update);
       return;
     case 'formerRetryUse':
-      context.retryBudgets.noteFormer(update);
+      context.retryBudgets.notePriorUse(update);
       return;
     case 'zoneLoad':
       context.zoneLoads.note(update, context.clock.nowMs());
@@ -67,7 +67,7 @@
   {endpointId, startedAtMs, forMs}: EndpointDoubted,
 ): void {
   const endpoint = findIncarnation(endpoints, endpointId, startedAtMs);
-  endpoint?.health.takeDoubt(clock.nowMs(), forMs);
+  endpoint?.health.applyPeerDoubt(clock.nowMs(), forMs);
 }
 
 function applyLimit(
@@ -101,6 +101,6 @@
   {hello, send}: Peer,
   retryUse: RetryUseNotice,
 ): void {
-  const former = retryBudgets.noteTold(hello.instance, retryUse);
+  const former = retryBudgets.notePeerReport(hello.instance, retryUse);
   if (former !== undefined) send({type: 'formerRetryUse', ...former});
 }
--- a/packages/relay/src/peers/suspicionMessage.ts
+++ b/packages/relay/src/peers/suspicionMessage.ts
@@ -1,5 +1,5 @@
 import {Exposure} from '@lilacledge/policy';
-import type {CrashEnd, Suspicion} from '@lilacledge/policy';
+import type {CrashReport, Suspicion} from '@lilacledge/policy';
 
 /** Maximum length of request fingerprints and incarnation names in messages. */
 const MAX_NAME_LENGTH = 200;
@@ -19,9 +19,9 @@
 }
 
 /** True for a valid report of the end of an incarnation. */
-export function isCrashEnd(value: unknown): value is CrashEnd {
+export function isCrashEnd(value: unknown): value is CrashReport {
   if (typeof value !== 'object' || value === null) return false;
-  const {life, exposure, agoMs, sentAgoMs} = value as Partial<CrashEnd>;
+  const {life, exposure, agoMs, sentAgoMs} = value as Partial<CrashReport>;
   const hasAges = isAge(agoMs) && isAge(sentAgoMs) && agoMs <= sentAgoMs;
   return isName(life) && EXPOSURES.has(exposure) && hasAges;
 }
--- a/packages/relay/src/ports.ts
+++ b/packages/relay/src/ports.ts
@@ -1,4 +1,4 @@
-import type {LimitStatement} from '@lilacledge/policy';
+import type {LimitAnnouncement} from '@lilacledge/policy';
 import type {BodyTransfer} from './http/callHttp.js';
 import type {
   CallerRequest,
@@ -9,7 +9,7 @@
   ServingConfig,
 } from './model/index.js';
 
-export type {LimitStatement};
+export type {LimitAnnouncement};
 
 /** A key and its value in the platform's metadata store. */
 export interface StoreItem {
@@ -124,7 +124,7 @@
   readonly isMisdirected: boolean;
   readonly load?: EndpointLoad;
   /** The rate limit that the endpoint announces. */
-  readonly limit: LimitStatement;
+  readonly limit: LimitAnnouncement;
   /** True if the endpoint announces that it leaves. */
   readonly saysLeaving: boolean;
   /** How long this entry should send nothing to the endpoint; requested by a rejection. */
--- a/packages/relay/src/requests/endpointAttempt.ts
+++ b/packages/relay/src/requests/endpointAttempt.ts
@@ -1,5 +1,5 @@
 import type {IncomingMessage} from 'node:http';
-import {SILENT_LIMIT} from '@lilacledge/policy';
+import {NO_RESPONSE_LIMIT} from '@lilacledge/policy';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import type {SendPermit} from '../endpoints/sendLimits.js';
 import {sendToEndpoint} from '../http/sendToEndpoint.js';
@@ -50,7 +50,7 @@
     if (!endpoint.mayGetWork(clock.nowMs(), settings.drainMs)) {
       return {kind: 'notRun', detail: 'the endpoint has left meanwhile'};
     }
-    if (endpoint.terms.rest.leftMs(clock.nowMs()) > 0) {
+    if (endpoint.terms.rest.remainingMs(clock.nowMs()) > 0) {
       return {kind: 'notRun', detail: 'the endpoint rests since'};
     }
   }
@@ -77,7 +77,11 @@
     case 'noAnswer': {
       if (!signal.aborted) {
         const limit = noResponseLimitFor(exchange);
-        endpoint.health.noteSilence(context.clock.nowMs(), sent.isReset, limit);
+        endpoint.health.noteNoResponse(
+          context.clock.nowMs(),
+          sent.isReset,
+          limit,
+        );
       }
       const {detail} = sent;
       if (sent.kind === 'notSent') return {kind: 'notRun', detail};
@@ -96,7 +100,7 @@
  */
 function noResponseLimitFor(exchange: CallerExchange): number {
   const {requestClass} = exchange.allowed.route;
-  return requestClass === RequestClass.STREAMING ? 1 : SILENT_LIMIT;
+  return requestClass === RequestClass.STREAMING ? 1 : NO_RESPONSE_LIMIT;
 }
 
 function classifyAnswer(
--- a/packages/relay/src/requests/generationAdmission.ts
+++ b/packages/relay/src/requests/generationAdmission.ts
@@ -1,12 +1,12 @@
 import {
   drawToAsk,
-  endsInAnyCase,
-  endsInTime,
-  suspectPlace,
+  isCertainToFinish,
+  isLikelyToFinish,
+  chooseTrialEndpoint,
 } from '@lilacledge/policy';
 import type {
   EnginePace,
-  LastGeneration,
+  ShutdownGeneration,
   WaitingPlace,
 } from '@lilacledge/policy';
 import {assertNever} from '@lilacledge/shared';
@@ -66,7 +66,7 @@
     const {beganAtMs, endsAtMs} = context.closing;
     const nowMs = context.clock.nowMs();
     const {promptTokens, maxOutputTokens} = size;
-    const generation: LastGeneration = {
+    const generation: ShutdownGeneration = {
       timeLeftMs: endsAtMs - nowMs,
       promptTokens,
       expectedOutputTokens: size.expectedOutputTokens ?? maxOutputTokens / 2,
@@ -74,7 +74,9 @@
       longestSilenceMs: exchange.answerTimeLeftMs,
     };
     const isWorstCaseChecked = nowMs > beganAtMs + WORST_CASE_CHECK_AFTER_MS;
-    const endsBeforeExit = isWorstCaseChecked ? endsInAnyCase : endsInTime;
+    const endsBeforeExit = isWorstCaseChecked
+      ? isCertainToFinish
+      : isLikelyToFinish;
     return !endsBeforeExit(generation, pace);
   }
 
@@ -242,7 +244,7 @@
     const {context, exchange} = this;
     if (context.suspicions.isSuspected(exchange)) {
       const nowMs = context.clock.nowMs();
-      const candidate = suspectPlace(
+      const candidate = chooseTrialEndpoint(
         ranked.map((choice) => ({
           choice,
           usedTokens: choice.use.usedTokens,
--- a/packages/relay/src/requests/permittedPlaces.ts
+++ b/packages/relay/src/requests/permittedPlaces.ts
@@ -1,4 +1,4 @@
-import {isHome, returnAfter} from '@lilacledge/policy';
+import {isAllowedRegion, returnAfter} from '@lilacledge/policy';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import {retryAfterRandom} from './awaitView.js';
 import type {AllowedRequest} from './callerExchange.js';
@@ -11,7 +11,7 @@
   endpoint: Endpoint,
 ): boolean {
   const region = context.settings.regions.get(endpoint.record.zone);
-  return isHome(region, [route.homes, organisation?.homes]);
+  return isAllowedRegion(region, [route.homes, organisation?.homes]);
 }
 
 /** False when the route and the organisation allow no region of the deployment. */
@@ -21,7 +21,7 @@
 ): boolean {
   const allowedRegions = [route.homes, organisation?.homes];
   const regions = [undefined, ...settings.regions.values()];
-  return regions.some((region) => isHome(region, allowedRegions));
+  return regions.some((region) => isAllowedRegion(region, allowedRegions));
 }
 
 /** True when an endpoint may serve a request and its send limit allows one more send now. */
--- a/packages/relay/src/requests/takeRepeat.ts
+++ b/packages/relay/src/requests/takeRepeat.ts
@@ -8,9 +8,9 @@
   context: RelayContext,
   exchange: CallerExchange,
 ): boolean {
-  const {hasRoom} = budgetOf(context, exchange);
-  if (!hasRoom) reportSpent(context, exchange);
-  return hasRoom;
+  const {hasCapacity} = budgetOf(context, exchange);
+  if (!hasCapacity) reportSpent(context, exchange);
+  return hasCapacity;
 }
 
 /**
@@ -67,7 +67,7 @@
     service: exchange.allowed.service,
     used: budget.used,
     allowed: Number(budget.allowed.toFixed(1)),
-    isFormerUseKnown: context.retryBudgets.isFormerUseKnown,
+    isFormerUseKnown: context.retryBudgets.isPriorUseKnown,
     entries: context.retryBudgets.entryCount,
   };
 }
--- a/packages/relay/src/suspicions/__tests__/requestSuspicions.test.ts
+++ b/packages/relay/src/suspicions/__tests__/requestSuspicions.test.ts
@@ -2,7 +2,7 @@
 import type {Server as HttpServer} from 'node:http';
 import {createServer} from 'node:net';
 import type {AddressInfo, Server} from 'node:net';
-import {Exposure, FIRST_QUARANTINE_MS} from '@lilacledge/policy';
+import {Exposure, INITIAL_QUARANTINE_MS} from '@lilacledge/policy';
 import {VirtualClock} from '@lilacledge/shared';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 import {testRecord} from '../../__tests__/testRecord.js';
@@ -133,7 +133,7 @@
       const endpoint = endpointAt(await closedPort(), {id});
       await suspicions.noteBroken(REQUEST, endpoint, {...SEND, sentMs});
     }
-    expect(suspicions.quarantineMs(REQUEST)).toBe(FIRST_QUARANTINE_MS);
+    expect(suspicions.quarantineMs(REQUEST)).toBe(INITIAL_QUARANTINE_MS);
     expect(suspicions.quarantineMs({id: 'b', fingerprint: 'f-2'})).toBe(
       undefined,
     );
@@ -176,7 +176,7 @@
           one.noteTold(suspicion, SuspicionSource.PEER);
         }
       }
-      await clock.advance(FIRST_QUARANTINE_MS);
+      await clock.advance(INITIAL_QUARANTINE_MS);
     });
 
     function allowed(id: string): RequestSuspicions[] {
--- a/packages/relay/src/suspicions/__tests__/storedSuspicions.test.ts
+++ b/packages/relay/src/suspicions/__tests__/storedSuspicions.test.ts
@@ -1,4 +1,4 @@
-import {Exposure, LONGEST_QUARANTINE_MS} from '@lilacledge/policy';
+import {Exposure, MAX_QUARANTINE_MS} from '@lilacledge/policy';
 import type {Suspicion} from '@lilacledge/policy';
 import {VirtualClock} from '@lilacledge/shared';
 import {beforeEach, describe, expect, it} from 'vitest';
@@ -82,7 +82,7 @@
     expect(writes).toHaveLength(1);
     expect(writes[0]).toMatchObject({
       key: `${PREFIX}${FINGERPRINT}`,
-      leaseId: LONGEST_QUARANTINE_MS,
+      leaseId: MAX_QUARANTINE_MS,
     });
   });
 
@@ -110,7 +110,7 @@
     await settle();
     suspicions.noteServed({id: 'a', fingerprint: FINGERPRINT});
     await settle();
-    expect(endedLeases).toEqual([LONGEST_QUARANTINE_MS]);
+    expect(endedLeases).toEqual([MAX_QUARANTINE_MS]);
   });
 
   it('is known to an entry that reads the store', async () => {
--- a/packages/relay/src/suspicions/requestSuspicions.ts
+++ b/packages/relay/src/suspicions/requestSuspicions.ts
@@ -1,7 +1,11 @@
-import {CrashSuspicions, endsAsPlanned, makesTrial} from '@lilacledge/policy';
+import {
+  CrashSuspicions,
+  isPlannedExit,
+  isChosenForTrial,
+} from '@lilacledge/policy';
 import type {
-  CrashEnd,
-  EndedLeave,
+  CrashReport,
+  EndpointExit,
   Exposure,
   Suspicion,
 } from '@lilacledge/policy';
@@ -117,7 +121,7 @@
   /** True if this entry is the one that makes the trial, and no other attempt is on trial. */
   private mayRunTrial({id, fingerprint}: RequestIdentity): boolean {
     const {self, members} = this.entries;
-    if (!makesTrial(fingerprint, self, members())) return false;
+    if (!isChosenForTrial(fingerprint, self, members())) return false;
     const nowMs = this.clock.nowMs();
     const isOpen = this.trial !== undefined && nowMs < this.trial.untilMs;
     if (isOpen && this.trial?.requestId !== id) return false;
@@ -131,13 +135,13 @@
     endpoint: EndedEndpoint,
     {exposure, sentMs}: BrokenSend,
   ): Promise<void> {
-    if (endsAsPlanned(this.leaveOf(endpoint))) return;
+    if (isPlannedExit(this.leaveOf(endpoint))) return;
     if (!(await hasEnded(endpoint.record.address))) return;
     const {fingerprint} = exchange;
     const sentAgoMs = this.clock.nowMs() - sentMs;
     const life = incarnationOf(endpoint);
-    const end: CrashEnd = {life, exposure, agoMs: 0, sentAgoMs};
-    if (!this.known.noteEnd(fingerprint, end)) return;
+    const end: CrashReport = {life, exposure, agoMs: 0, sentAgoMs};
+    if (!this.known.noteCrash(fingerprint, end)) return;
     this.log.warn('endpoint.endedUnder', {
       request: exchange.id,
       fingerprint,
@@ -163,7 +167,7 @@
     }
   }
 
-  private leaveOf(endpoint: EndedEndpoint): EndedLeave {
+  private leaveOf(endpoint: EndedEndpoint): EndpointExit {
     const {isLeaving, hasReportedLeave, removedAtMs} = endpoint;
     const removedAgoMs =
       removedAtMs === undefined ? undefined : this.clock.nowMs() - removedAtMs;
--- a/packages/relay/src/suspicions/storedSuspicions.ts
+++ b/packages/relay/src/suspicions/storedSuspicions.ts
@@ -1,4 +1,4 @@
-import {LONGEST_QUARANTINE_MS} from '@lilacledge/policy';
+import {MAX_QUARANTINE_MS} from '@lilacledge/policy';
 import type {Suspicion} from '@lilacledge/policy';
 import {sleep} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
@@ -47,9 +47,7 @@
     const isOwn = source === SuspicionSource.OWN && lease === undefined;
     if (!isQuarantined || !isOwn || leases.size >= MAX_STORED_REQUESTS) return;
     leases.set(fingerprint, writeUntilStored(sources, suspicion));
-    sources.clock.after(LONGEST_QUARANTINE_MS, () =>
-      leases.delete(fingerprint),
-    );
+    sources.clock.after(MAX_QUARANTINE_MS, () => leases.delete(fingerprint));
   });
 }
 
@@ -100,7 +98,7 @@
   {store, prefix, log}: StoredSuspicionSources,
   suspicion: Suspicion,
 ): Promise<number | undefined> {
-  const granted = await store.grantLease(LONGEST_QUARANTINE_MS);
+  const granted = await store.grantLease(MAX_QUARANTINE_MS);
   if (granted.kind !== 'ok') return undefined;
   const leaseId = granted.value;
   const {fingerprint} = suspicion;
--- a/packages/sidecar/src/keyedCalls.ts
+++ b/packages/sidecar/src/keyedCalls.ts
@@ -70,7 +70,7 @@
       interval: this.slots.grantOf(slot),
       forgottenBeforeWallMs: this.evictedBeforeMs,
       nowWallMs: this.clock.wallMs(),
-      skewMs: this.settings.keySkewMs,
+      maxClockLeadMs: this.settings.keySkewMs,
     });
     if (decision.outcome === 'refuse') {
       return {kind: 'failed', failure: decision.failure};
