--- a/packages-private/measure/src/bin/decisions.ts
+++ b/packages-private/measure/src/bin/decisions.ts
@@ -3,7 +3,7 @@
   decideAdmission,
   EndpointChooser,
   LengthEstimator,
-  RouteKind,
+  RoutingRule,
 } from '@lilacledge/policy';
 import type {Candidate, MemoryClaim} from '@lilacledge/policy';
 import {decodeMessage, encodeMessage} from '@lilacledge/protocol';
@@ -51,10 +51,10 @@
 
 /** Draws the memory claim of a generation that has made random progress. */
 function drawClaim(estimator: LengthEstimator): MemoryClaim {
-  const produced = Math.floor(random() * 900);
+  const producedTokens = Math.floor(random() * 900);
   return {
-    heldTokens: 300 + produced,
-    produced,
+    heldTokens: 300 + producedTokens,
+    producedTokens,
     maxTokens: 4_096,
     lengths: estimator.modelFor('organisation', 4_096),
   };
@@ -68,7 +68,7 @@
   const chooser = new EndpointChooser(random);
   const request = {promptTokens: 200, expectedTokens: 256};
   benchmark(`endpoint among ${count}`, () => {
-    chooser.choose(RouteKind.PREDICTED, candidates, request);
+    chooser.choose(RoutingRule.PREDICTED, candidates, request);
   });
 }
 for (const running of [20, 200]) {
--- a/packages/entry/src/selectPeer.ts
+++ b/packages/entry/src/selectPeer.ts
@@ -1,4 +1,4 @@
-import type {RouteKind, RouteRequest} from '@lilacledge/policy';
+import type {RoutingRule, RouteRequest} from '@lilacledge/policy';
 import {SidecarState} from '@lilacledge/protocol';
 import type {EntryContext} from './entryContext.js';
 import type {SidecarPeer} from './sidecarPeer.js';
@@ -26,7 +26,7 @@
   context: EntryContext,
   requestId: string,
   service: string,
-  rule: RouteKind,
+  rule: RoutingRule,
   request: RouteRequest,
   blocks: readonly number[],
   tried: ReadonlySet<string>,
--- a/packages/policy/src/__tests__/bulkReads.test.ts
+++ b/packages/policy/src/__tests__/bulkReads.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {readAfter} from '../bulkReads.js';
+import {chooseNextRead} from '../bulkReads.js';
 
 /** Transfer time of one version on the slowest link. */
 const VERSION_MS = 310;
@@ -24,7 +24,7 @@
   let knownCount = 0;
   let longestMs = 0;
   let worstAgeMs = 0;
-  let next = readAfter({tookMs: 0, isNew: false}, applyBoundMs);
+  let next = chooseNextRead({tookMs: 0, isNew: false}, applyBoundMs);
   while (nowMs < forMs) {
     if (next.kind === 'newest') nowMs += next.pauseMs;
     else nowMs = Math.max(nowMs, (knownCount + 1) * gapMs);
@@ -38,7 +38,7 @@
       worstAgeMs = Math.max(worstAgeMs, nowMs - (knownCount + 1) * gapMs);
     }
     knownCount = writtenCount;
-    next = readAfter({tookMs, isNew}, applyBoundMs);
+    next = chooseNextRead({tookMs, isNew}, applyBoundMs);
   }
   return {longestMs, worstAgeMs};
 }
@@ -56,17 +56,17 @@
   );
 
   it('watches again after a read that returned nothing new', () => {
-    const next = readAfter({tookMs: VERSION_MS, isNew: false}, 2_000);
+    const next = chooseNextRead({tookMs: VERSION_MS, isNew: false}, 2_000);
     expect(next).toEqual({kind: 'watch'});
   });
 
   it('keeps watching, without a pause, while versions are small', () => {
-    const next = readAfter({tookMs: 3, isNew: true}, 2_000);
+    const next = chooseNextRead({tookMs: 3, isNew: true}, 2_000);
     expect(next).toEqual({kind: 'watch'});
   });
 
   it('pauses for at most a fifth of the bound', () => {
-    const next = readAfter({tookMs: 5_000, isNew: true}, 2_000);
+    const next = chooseNextRead({tookMs: 5_000, isNew: true}, 2_000);
     expect(next).toEqual({kind: 'newest', pauseMs: 400});
   });
 });
--- a/packages/policy/src/__tests__/callTimes.test.ts
+++ b/packages/policy/src/__tests__/callTimes.test.ts
@@ -16,22 +16,22 @@
     let hedgedCount = 0;
     for (let call = 0; call < 2_000; call++) {
       const tookMs = drawMs(medianMs, random);
-      if (tookMs > times.usualMs) hedgedCount++;
+      if (tookMs > times.p97Ms) hedgedCount++;
       times.note(tookMs);
     }
     expect(hedgedCount / 2_000).toBeLessThan(0.05);
-    expect(times.usualMs).toBeGreaterThan(medianMs * 1.5);
-    expect(times.usualMs).toBeLessThan(medianMs * 4);
+    expect(times.p97Ms).toBeGreaterThan(medianMs * 1.5);
+    expect(times.p97Ms).toBeLessThan(medianMs * 4);
   });
 
   it('follows a service that slows down and recovers', () => {
     const random = createRandom(9);
     const times = new CallTimes();
     for (let call = 0; call < 500; call++) times.note(drawMs(30, random));
-    const fastMs = times.usualMs;
+    const fastMs = times.p97Ms;
     for (let call = 0; call < 300; call++) times.note(drawMs(90, random));
-    expect(times.usualMs).toBeGreaterThan(fastMs * 2);
+    expect(times.p97Ms).toBeGreaterThan(fastMs * 2);
     for (let call = 0; call < 1_000; call++) times.note(drawMs(30, random));
-    expect(times.usualMs).toBeLessThan(fastMs * 1.6);
+    expect(times.p97Ms).toBeLessThan(fastMs * 1.6);
   });
 });
--- a/packages/policy/src/__tests__/decisionsFuzz.test.ts
+++ b/packages/policy/src/__tests__/decisionsFuzz.test.ts
@@ -16,8 +16,8 @@
 import {RetryBudgets} from '../retryBudgets.js';
 import {decideWithoutConfig, decideWithoutEndpoint} from '../viewForecast.js';
 import {compareWaiting} from '../waitingOrder.js';
-import type {WaitingPlace} from '../waitingOrder.js';
-import {gatherMs, ViewState} from '../watchPace.js';
+import type {QueuePosition} from '../waitingOrder.js';
+import {batchDelayMs, ViewState} from '../watchPace.js';
 
 const RUNS = {numRuns: 300, seed: 20_261};
 
@@ -41,7 +41,7 @@
   .map((samples) => {
     const learned = new EnginePace();
     for (const [count, tookMs, isPrefill] of samples) {
-      if (isPrefill) learned.noteRead(count, tookMs);
+      if (isPrefill) learned.notePrefill(count, tookMs);
       else learned.noteOutput(count, tookMs);
     }
     return learned;
@@ -69,7 +69,7 @@
                 expectedWaitMs: a,
                 waitedMs: b,
                 shortForMs: c,
-                readMs: a,
+                prefillMs: a,
                 goalLeftMs: left,
               },
               random,
@@ -109,7 +109,9 @@
         timeMs,
         fc.constantFrom(...Object.values(ViewState)),
         (boundMs, view) => {
-          expect(gatherMs(boundMs, view)).toBeLessThanOrEqual(boundMs * 0.5);
+          expect(batchDelayMs(boundMs, view)).toBeLessThanOrEqual(
+            boundMs * 0.5,
+          );
           expect(storeWatchTimeoutMs(boundMs)).toBeLessThanOrEqual(boundMs + 1);
         },
       ),
@@ -132,11 +134,11 @@
   it('learn a positive and finite pace', () => {
     fc.assert(
       fc.property(pace, (learned) => {
-        for (const ms of [learned.readMs(1), learned.outputMs(1)]) {
+        for (const ms of [learned.prefillMs(1), learned.outputMs(1)]) {
           expect(ms).toBeGreaterThan(0);
           expect(Number.isFinite(ms)).toBe(true);
         }
-        expect(learned.longestOutputMs(1)).toBeGreaterThan(0);
+        expect(learned.maxExpectedOutputMs(1)).toBeGreaterThan(0);
       }),
       RUNS,
     );
@@ -182,15 +184,15 @@
   });
 
   it('order waiting generations transitively, by rank first', () => {
-    const position: fc.Arbitrary<WaitingPlace> = fc.record({
+    const position: fc.Arbitrary<QueuePosition> = fc.record({
       organisationRank: fc.integer({min: 0, max: 3}),
       routeRank: fc.integer({min: 0, max: 3}),
-      inTimeUntilMs: timeMs,
+      latestStartMs: timeMs,
       deadlineMs: timeMs,
     });
     fc.assert(
       fc.property(position, position, position, timeMs, (a, b, c, nowMs) => {
-        const order = (x: WaitingPlace, y: WaitingPlace): number =>
+        const order = (x: QueuePosition, y: QueuePosition): number =>
           Math.sign(compareWaiting(x, y, nowMs));
         expect(order(a, b) + order(b, a)).toBe(0);
         if (order(a, b) <= 0 && order(b, c) <= 0) {
@@ -280,7 +282,7 @@
             rate.note(forMs, count);
             times.note(forMs * random());
           }
-          for (const ms of [rate.timeForMs(ahead), times.longestMs]) {
+          for (const ms of [rate.expectedWaitMs(ahead), times.maxExpectedMs]) {
             expect(ms).toBeGreaterThanOrEqual(0);
             expect(Number.isFinite(ms)).toBe(true);
           }
--- a/packages/policy/src/__tests__/enginePace.test.ts
+++ b/packages/policy/src/__tests__/enginePace.test.ts
@@ -21,7 +21,7 @@
   for (let index = 0; index < count; index++) {
     const promptTokens = 1_000 + Math.floor(random() * 4_000);
     const variation = 0.7 + 0.6 * random();
-    pace.noteRead(
+    pace.notePrefill(
       promptTokens,
       (promptTokens / engines.promptTokensPerMs) * variation,
     );
@@ -31,7 +31,7 @@
 
 /** Asserts that forecasts are within 20 % of the actual times of such engines. */
 function expectForecasts(pace: EnginePace, engines: EngineSpeed): void {
-  const readMs = pace.readMs(3_000) * engines.promptTokensPerMs;
+  const readMs = pace.prefillMs(3_000) * engines.promptTokensPerMs;
   const outputMs = pace.outputMs(100) / engines.tokenMs;
   expect(Math.abs(readMs / 3_000 - 1)).toBeLessThan(0.2);
   expect(Math.abs(outputMs / 100 - 1)).toBeLessThan(0.2);
@@ -40,12 +40,12 @@
 describe('EnginePace with learning turned off', () => {
   it('keeps the initial estimates', () => {
     const pace = new EnginePace(false);
-    const beforeMs = [pace.readMs(1_000), pace.outputMs(100)];
+    const beforeMs = [pace.prefillMs(1_000), pace.outputMs(100)];
     for (let answer = 0; answer < 200; answer++) {
-      pace.noteRead(1_000, 5_000);
+      pace.notePrefill(1_000, 5_000);
       pace.noteOutput(100, 9_000);
     }
-    expect([pace.readMs(1_000), pace.outputMs(100)]).toEqual(beforeMs);
+    expect([pace.prefillMs(1_000), pace.outputMs(100)]).toEqual(beforeMs);
   });
 });
 
@@ -70,25 +70,27 @@
 
   it('changes little on a single response', () => {
     const pace = new EnginePace();
-    const before = pace.readMs(3_000);
-    pace.noteRead(3_000, 60_000);
-    expect(pace.readMs(3_000)).toBeLessThan(before * 1.1);
+    const before = pace.prefillMs(3_000);
+    pace.notePrefill(3_000, 60_000);
+    expect(pace.prefillMs(3_000)).toBeLessThan(before * 1.1);
   });
 
   it('ignores samples that are too small to reflect the speed of the engine', () => {
     const pace = new EnginePace();
-    const [readMs, outputMs] = [pace.readMs(3_000), pace.outputMs(100)];
+    const [readMs, outputMs] = [pace.prefillMs(3_000), pace.outputMs(100)];
     for (let index = 0; index < 50; index++) {
-      pace.noteRead(20, 50);
+      pace.notePrefill(20, 50);
       pace.noteOutput(4, 0);
     }
-    expect(pace.readMs(3_000)).toBe(readMs);
+    expect(pace.prefillMs(3_000)).toBe(readMs);
     expect(pace.outputMs(100)).toBe(outputMs);
   });
 
   it('expects a longer maximum than median time of an output', () => {
     const pace = new EnginePace();
     recordGenerations(pace, FAST, 400);
-    expect(pace.longestOutputMs(100)).toBeGreaterThan(pace.outputMs(100) * 1.2);
+    expect(pace.maxExpectedOutputMs(100)).toBeGreaterThan(
+      pace.outputMs(100) * 1.2,
+    );
   });
 });
--- a/packages/policy/src/__tests__/freshLook.test.ts
+++ b/packages/policy/src/__tests__/freshLook.test.ts
@@ -1,7 +1,7 @@
 import {createRandom} from '@lilacledge/shared';
 import type {Random} from '@lilacledge/shared';
 import {describe, expect, it} from 'vitest';
-import {drawToAsk} from '../freshLook.js';
+import {sampleForLoadQuery} from '../freshLook.js';
 
 /*
  * Guards against herding: entries that rank engines by the same reports, which are some
@@ -97,7 +97,7 @@
 
 /** Chooses the best engine of a sample, by its current load. */
 const bestQueried: Choose = (candidates, nowMs, random) => {
-  const queried = drawToAsk(ranked(candidates), random);
+  const queried = sampleForLoadQuery(ranked(candidates), random);
   const scores = queried.map(({engine}) => ({
     engine,
     score: engine.backlogTokens(nowMs) + engine.penaltyTokens,
@@ -176,14 +176,18 @@
   const random = createRandom(1);
 
   it('returns all engines if there are few', () => {
-    expect(drawToAsk(['a', 'b', 'c'], random).sort()).toEqual(['a', 'b', 'c']);
-    expect(drawToAsk([], random)).toEqual([]);
+    expect(sampleForLoadQuery(['a', 'b', 'c'], random).sort()).toEqual([
+      'a',
+      'b',
+      'c',
+    ]);
+    expect(sampleForLoadQuery([], random)).toEqual([]);
   });
 
   it('returns four distinct engines of the better half', () => {
     const names = Array.from({length: 20}, (_, index) => index);
     for (let round = 0; round < 50; round++) {
-      const sample = drawToAsk(names, random);
+      const sample = sampleForLoadQuery(names, random);
       expect(new Set(sample).size).toBe(4);
       expect(Math.max(...sample)).toBeLessThan(10);
     }
@@ -192,7 +196,7 @@
   it('returns a different sample each time', () => {
     const names = Array.from({length: 20}, (_, index) => index);
     const samples = Array.from({length: 20}, () =>
-      drawToAsk(names, random).sort().join(),
+      sampleForLoadQuery(names, random).sort().join(),
     );
     expect(new Set(samples).size).toBeGreaterThan(10);
   });
--- a/packages/policy/src/__tests__/hedgedRead.test.ts
+++ b/packages/policy/src/__tests__/hedgedRead.test.ts
@@ -2,7 +2,7 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import {hedgeRead} from '../hedgedRead.js';
 
-const SETTINGS = {afterMs: 300, mostOpen: 4};
+const SETTINGS = {afterMs: 300, maxReads: 4};
 const READ_TIMEOUT_MS = 1_500;
 
 /** A store that times out until `returnsAtMs` and then responds within 4 ms. */
@@ -63,7 +63,7 @@
     const store = new UnresponsiveStore(clock, Infinity);
     const {result, atMs} = await readAt(store);
     expect(result).toBe('timeout');
-    expect(store.reads).toBe(SETTINGS.mostOpen);
+    expect(store.reads).toBe(SETTINGS.maxReads);
     expect(atMs).toBe(3 * SETTINGS.afterMs + READ_TIMEOUT_MS);
   });
 
--- a/packages/policy/src/__tests__/lastGeneration.test.ts
+++ b/packages/policy/src/__tests__/lastGeneration.test.ts
@@ -34,7 +34,7 @@
   const pace = new EnginePace();
   for (let index = 0; index < 600; index++) {
     pace.noteOutput(32, 32 * TOKEN_MS * randomPaceFactor(random));
-    pace.noteRead(PROMPT_TOKENS, PROMPT_MS);
+    pace.notePrefill(PROMPT_TOKENS, PROMPT_MS);
   }
   return pace;
 }
--- a/packages/policy/src/__tests__/leaveBound.test.ts
+++ b/packages/policy/src/__tests__/leaveBound.test.ts
@@ -4,7 +4,7 @@
   lastResortUntilMs,
   storeWatchTimeoutMs,
 } from '../leaveBound.js';
-import {gatherMs, ViewState} from '../watchPace.js';
+import {batchDelayMs, ViewState} from '../watchPace.js';
 
 /** Connection timeout plus the transfer of the request. */
 const CONNECT_MS = 250;
@@ -13,7 +13,7 @@
   it.each([2_000, 3_000])(
     'is kept by the sum of all its shares (%d ms)',
     (deadlineMs) => {
-      const receivedMs = gatherMs(deadlineMs, ViewState.SETTLED);
+      const receivedMs = batchDelayMs(deadlineMs, ViewState.SETTLED);
       const reported = {kind: 'told', atMs: receivedMs} as const;
       const stored = {kind: 'stored', clearMs: 0} as const;
       for (const notice of [reported, stored]) {
--- a/packages/policy/src/__tests__/linkRings.test.ts
+++ b/packages/policy/src/__tests__/linkRings.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {nextInRings, ringCount} from '../linkRings.js';
+import {ringSuccessors, ringCount} from '../linkRings.js';
 
 function createNames(size: number): string[] {
   return Array.from({length: size}, (_, index) => `entry-${index}`);
@@ -9,7 +9,7 @@
 function linksOf(names: readonly string[]): Set<string> {
   const links = new Set<string>();
   for (const name of names) {
-    for (const to of nextInRings(name, names)) links.add(`${name} ${to}`);
+    for (const to of ringSuccessors(name, names)) links.add(`${name} ${to}`);
   }
   return links;
 }
@@ -25,12 +25,12 @@
 
 describe('nextInRings', () => {
   it('links a member to its successor by name', () => {
-    expect(nextInRings('b', ['a', 'b', 'c']).has('c')).toBe(true);
-    expect(nextInRings('c', ['a', 'b', 'c']).has('a')).toBe(true);
+    expect(ringSuccessors('b', ['a', 'b', 'c']).has('c')).toBe(true);
+    expect(ringSuccessors('c', ['a', 'b', 'c']).has('a')).toBe(true);
   });
 
   it('has no links in a fleet of one', () => {
-    expect(nextInRings('a', ['a']).size).toBe(0);
+    expect(ringSuccessors('a', ['a']).size).toBe(0);
   });
 
   // Guards against reconnection storms: one member more or less must not replace links
--- a/packages/policy/src/__tests__/promptSizes.test.ts
+++ b/packages/policy/src/__tests__/promptSizes.test.ts
@@ -59,7 +59,7 @@
     const sizes = new PromptSizes();
     const countTokens = (tokens: number): number => {
       sizes.note(tokens);
-      return sizes.countedTokens(tokens);
+      return sizes.cappedTokens(tokens);
     };
     const share = relativeServedShare(serve(countTokens, createRandom(seed)));
     expect(share).toBeGreaterThan(0.5);
@@ -75,7 +75,7 @@
   it('follows the lengths of recent prompts', () => {
     const sizes = new PromptSizes();
     for (let count = 0; count < 400; count++) sizes.note(200);
-    expect(sizes.countedTokens(5_000)).toBeLessThan(400);
-    expect(sizes.countedTokens(100)).toBe(100);
+    expect(sizes.cappedTokens(5_000)).toBeLessThan(400);
+    expect(sizes.cappedTokens(100)).toBe(100);
   });
 });
--- a/packages/policy/src/__tests__/returnTime.test.ts
+++ b/packages/policy/src/__tests__/returnTime.test.ts
@@ -1,6 +1,6 @@
 import {createRandom} from '@lilacledge/shared';
 import {describe, expect, it} from 'vitest';
-import {returnAfter} from '../returnTime.js';
+import {drawRetryAfter} from '../returnTime.js';
 
 describe('drawRetryAfter', () => {
   // Guards against callers that retry too early, or all at once.
@@ -8,7 +8,7 @@
     const random = createRandom(3);
     const times = Array.from(
       {length: 200},
-      () => returnAfter(1_000, random).retryAfterMs,
+      () => drawRetryAfter(1_000, random).retryAfterMs,
     );
     expect(Math.min(...times)).toBeGreaterThanOrEqual(1_000);
     expect(Math.max(...times)).toBeLessThanOrEqual(1_200);
--- a/packages/policy/src/__tests__/roomWait.test.ts
+++ b/packages/policy/src/__tests__/roomWait.test.ts
@@ -2,9 +2,9 @@
 import {describe, expect, it} from 'vitest';
 import {DrainRate} from '../drainRate.js';
 import {decideRoom} from '../roomWait.js';
-import type {RoomDecision, RoomQuestion} from '../roomWait.js';
+import type {RoomDecision, RoomRequest} from '../roomWait.js';
 import {compareWaiting} from '../waitingOrder.js';
-import type {WaitingPlace} from '../waitingOrder.js';
+import type {QueuePosition} from '../waitingOrder.js';
 
 const GOAL_MS = 1_500;
 const PATIENCE_MS = 6_000;
@@ -12,7 +12,7 @@
 const PROMPT_TOKENS = 3_000;
 const STEP_MS = 40;
 
-type Decide = (question: RoomQuestion) => RoomDecision;
+type Decide = (question: RoomRequest) => RoomDecision;
 
 interface Tally {
   inTime: number;
@@ -22,11 +22,11 @@
   refusedWaitMs: number;
 }
 
-function toPosition(arrivedMs: number): WaitingPlace {
+function toPosition(arrivedMs: number): QueuePosition {
   return {
     organisationRank: 0,
     routeRank: 0,
-    inTimeUntilMs: arrivedMs + GOAL_MS - READ_MS,
+    latestStartMs: arrivedMs + GOAL_MS - READ_MS,
     deadlineMs: arrivedMs + PATIENCE_MS,
   };
 }
@@ -62,10 +62,10 @@
       }
       ahead += PROMPT_TOKENS;
       const decision = decide({
-        expectedWaitMs: drain.timeForMs(ahead),
+        expectedWaitMs: drain.expectedWaitMs(ahead),
         waitedMs,
         shortForMs: 0,
-        readMs: READ_MS,
+        prefillMs: READ_MS,
         goalLeftMs: GOAL_MS - waitedMs,
       });
       if (decision.kind === 'wait') return true;
@@ -81,7 +81,7 @@
 }
 
 /** Baseline: waits for a fixed share of the goal. */
-function fixedWait({waitedMs}: RoomQuestion): RoomDecision {
+function fixedWait({waitedMs}: RoomRequest): RoomDecision {
   if (waitedMs < GOAL_MS * 0.22) return {kind: 'wait'};
   return {kind: 'refuse', retryAfterMs: GOAL_MS * 1.5};
 }
@@ -123,7 +123,7 @@
         expectedWaitMs: 600,
         waitedMs: 500,
         shortForMs: 3_000,
-        readMs: READ_MS,
+        prefillMs: READ_MS,
         goalLeftMs: 500,
       },
       () => 0.5,
@@ -139,7 +139,7 @@
           expectedWaitMs: 8_000,
           waitedMs: 0,
           shortForMs: 0,
-          readMs: READ_MS,
+          prefillMs: READ_MS,
           goalLeftMs: GOAL_MS,
         },
         random,
@@ -156,15 +156,15 @@
   it('follows a change of the rate within a few half-lives', () => {
     const rate = new DrainRate();
     for (let step = 0; step < 100; step++) rate.note(STEP_MS, 400);
-    expect(rate.timeForMs(10_000)).toBeCloseTo(1_000, -2);
+    expect(rate.expectedWaitMs(10_000)).toBeCloseTo(1_000, -2);
     for (let step = 0; step < 200; step++) rate.note(STEP_MS, 40);
-    expect(rate.timeForMs(10_000)).toBeGreaterThan(7_000);
+    expect(rate.expectedWaitMs(10_000)).toBeGreaterThan(7_000);
   });
 
   it('stays finite when nothing is admitted for a long time', () => {
     const rate = new DrainRate();
     rate.note(600_000, 0);
-    expect(rate.timeForMs(3_000)).toBeLessThan(Infinity);
-    expect(rate.timeForMs(0)).toBe(0);
+    expect(rate.expectedWaitMs(3_000)).toBeLessThan(Infinity);
+    expect(rate.expectedWaitMs(0)).toBe(0);
   });
 });
--- a/packages/policy/src/__tests__/waitingOrder.test.ts
+++ b/packages/policy/src/__tests__/waitingOrder.test.ts
@@ -1,14 +1,14 @@
 import {describe, expect, it} from 'vitest';
 import {compareWaiting} from '../waitingOrder.js';
-import type {WaitingPlace} from '../waitingOrder.js';
+import type {QueuePosition} from '../waitingOrder.js';
 
 const NOW_MS = 1_000;
 
-function position(changes: Partial<WaitingPlace> = {}): WaitingPlace {
+function position(changes: Partial<QueuePosition> = {}): QueuePosition {
   return {
     organisationRank: 0,
     routeRank: 0,
-    inTimeUntilMs: NOW_MS + 500,
+    latestStartMs: NOW_MS + 500,
     deadlineMs: NOW_MS + 6_000,
     ...changes,
   };
@@ -16,7 +16,7 @@
 
 describe('compareWaiting', () => {
   const late = position({
-    inTimeUntilMs: NOW_MS - 1,
+    latestStartMs: NOW_MS - 1,
     deadlineMs: NOW_MS + 2_000,
   });
 
@@ -46,8 +46,8 @@
       for (let nowMs = 0; nowMs < 8_000; nowMs += 100) {
         waiting.push({atMs: nowMs});
         if (isOrdered) {
-          const toPosition = ({atMs}: {atMs: number}): WaitingPlace =>
-            position({inTimeUntilMs: atMs + 1_000, deadlineMs: atMs + 6_000});
+          const toPosition = ({atMs}: {atMs: number}): QueuePosition =>
+            position({latestStartMs: atMs + 1_000, deadlineMs: atMs + 6_000});
           waiting.sort((a, b) =>
             compareWaiting(toPosition(a), toPosition(b), nowMs),
           );
--- a/packages/policy/src/__tests__/watchPace.test.ts
+++ b/packages/policy/src/__tests__/watchPace.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {gatherMs, ViewState} from '../watchPace.js';
+import {batchDelayMs, ViewState} from '../watchPace.js';
 
 const DRAIN_MS = 2_000;
 
@@ -11,7 +11,7 @@
   while (registeredMs.some((atMs) => atMs > knownAtMs)) {
     // A watch returns all registrations so far; the next one starts after the pause.
     knownAtMs = watchAtMs;
-    watchAtMs += Math.max(1, gatherMs(DRAIN_MS, view));
+    watchAtMs += Math.max(1, batchDelayMs(DRAIN_MS, view));
   }
   return knownAtMs - registeredMs.at(-1)!;
 }
@@ -20,19 +20,19 @@
 // by one, the settled pause after the first would delay the discovery of all others.
 describe('batchDelayMs', () => {
   it('batches changes for a share of the drain bound', () => {
-    expect(gatherMs(DRAIN_MS, ViewState.SETTLED)).toBe(600);
+    expect(batchDelayMs(DRAIN_MS, ViewState.SETTLED)).toBe(600);
   });
 
   it('does not wait while a service has no endpoint', () => {
-    expect(gatherMs(DRAIN_MS, ViewState.LACKING)).toBe(0);
+    expect(batchDelayMs(DRAIN_MS, ViewState.INCOMPLETE)).toBe(0);
   });
 
   it('discovers all endpoints after an outage within a fifth of the settled pause', () => {
-    expect(delayUntilAllKnown(ViewState.UNSETTLED, 14)).toBeLessThan(130);
-    expect(delayUntilAllKnown(ViewState.LACKING, 14)).toBeLessThan(10);
+    expect(delayUntilAllKnown(ViewState.RECOVERING, 14)).toBeLessThan(130);
+    expect(delayUntilAllKnown(ViewState.INCOMPLETE, 14)).toBeLessThan(10);
   });
 
   it('waits no longer than a settled view if the bound is tight', () => {
-    expect(gatherMs(200, ViewState.UNSETTLED)).toBe(60);
+    expect(batchDelayMs(200, ViewState.RECOVERING)).toBe(60);
   });
 });
--- a/packages/policy/src/admission.ts
+++ b/packages/policy/src/admission.ts
@@ -6,7 +6,7 @@
   /** Tokens in memory now: the prompt and the output so far. */
   readonly heldTokens: number;
   /** Output tokens so far. */
-  readonly produced: number;
+  readonly producedTokens: number;
   /** Largest output that the caller allows. */
   readonly maxTokens: number;
   /** How long its output is likely to become. */
@@ -124,8 +124,8 @@
 }
 
 function survivalAt(claim: MemoryClaim, horizon: number): number {
-  if (claim.produced + horizon >= claim.maxTokens) return 0;
-  return claim.lengths.survival(claim.produced, horizon);
+  if (claim.producedTokens + horizon >= claim.maxTokens) return 0;
+  return claim.lengths.survival(claim.producedTokens, horizon);
 }
 
 function probabilityAbove(
@@ -147,7 +147,7 @@
 }
 
 function maximumOf(claim: MemoryClaim): number {
-  return claim.heldTokens + claim.maxTokens - claim.produced;
+  return claim.heldTokens + claim.maxTokens - claim.producedTokens;
 }
 
 function sum(
--- a/packages/policy/src/bulkReads.ts
+++ b/packages/policy/src/bulkReads.ts
@@ -38,7 +38,10 @@
  * Returns the request that follows a response. The pause is as long as the transfer
  * of the response, which leaves half of the link's time to callers.
  */
-export function readAfter(answer: BulkAnswer, applyBoundMs: number): NextRead {
+export function chooseNextRead(
+  answer: BulkAnswer,
+  applyBoundMs: number,
+): NextRead {
   if (!answer.isNew || answer.tookMs < QUICK_MS) return {kind: 'watch'};
   const pauseMs = Math.min(answer.tookMs, applyBoundMs * MAX_PAUSE_SHARE);
   return {kind: 'newest', pauseMs};
--- a/packages/policy/src/callTimes.ts
+++ b/packages/policy/src/callTimes.ts
@@ -27,12 +27,12 @@
   }
 
   /** 97th percentile of the response times; a call that takes longer is hedged. */
-  get usualMs(): number {
+  get p97Ms(): number {
     return this.p97.value;
   }
 
   /** A call that takes longer than this will almost certainly get no response. */
-  get longestMs(): number {
+  get maxExpectedMs(): number {
     return this.p97.value * MAX_EXPECTED_FACTOR;
   }
 }
--- a/packages/policy/src/chooseEndpoint.ts
+++ b/packages/policy/src/chooseEndpoint.ts
@@ -24,18 +24,18 @@
   readonly expectedTokens: number;
 }
 
-export const RouteKind = {
+export const RoutingRule = {
   PREDICTED: 'predicted',
   TWO_CHOICES: 'twoChoices',
   LEAST_OUTSTANDING: 'leastOutstanding',
   ROUND_ROBIN: 'roundRobin',
 } as const;
-export type RouteKind = (typeof RouteKind)[keyof typeof RouteKind];
+export type RoutingRule = (typeof RoutingRule)[keyof typeof RoutingRule];
 
 /** Why an endpoint was chosen, for spans, logs and `explain`. */
 export interface RouteChoice {
   readonly id: string;
-  readonly rule: RouteKind;
+  readonly rule: RoutingRule;
   /** Predicted completion time in ms, or the number of outstanding requests. */
   readonly score: number;
   /** Number of endpoints that were compared. */
@@ -59,28 +59,28 @@
 
   /** `candidates` must not be empty. */
   choose(
-    rule: RouteKind,
+    rule: RoutingRule,
     candidates: readonly Candidate[],
     request: RouteRequest,
   ): RouteChoice {
     switch (rule) {
-      case RouteKind.ROUND_ROBIN: {
+      case RoutingRule.ROUND_ROBIN: {
         const chosen = candidates[this.nextIndex++ % candidates.length]!;
         return {id: chosen.id, rule, score: 0, sampled: 1};
       }
-      case RouteKind.LEAST_OUTSTANDING:
+      case RoutingRule.LEAST_OUTSTANDING:
         return chooseLowestScore(
           rule,
           this.drawSample(candidates, candidates.length),
           outstandingOf,
         );
-      case RouteKind.TWO_CHOICES:
+      case RoutingRule.TWO_CHOICES:
         return chooseLowestScore(
           rule,
           this.drawSample(candidates, 2),
           outstandingOf,
         );
-      case RouteKind.PREDICTED: {
+      case RoutingRule.PREDICTED: {
         const sample = this.drawSample(candidates, SAMPLE_SIZE);
         const holder = findLargestCacheHit(candidates);
         if (holder !== undefined) sample.push(holder);
@@ -145,7 +145,7 @@
 }
 
 function chooseLowestScore(
-  rule: RouteKind,
+  rule: RoutingRule,
   sample: readonly Candidate[],
   scoreOf: (item: Candidate) => number,
 ): RouteChoice {
--- a/packages/policy/src/drainRate.ts
+++ b/packages/policy/src/drainRate.ts
@@ -29,7 +29,7 @@
   }
 
   /** Expected time until `tokens` are admitted. */
-  timeForMs(tokens: number): number {
+  expectedWaitMs(tokens: number): number {
     // Keeps the estimate finite when nothing was admitted for a long time.
     return (tokens * this.queuedMs) / Math.max(1, this.tokens);
   }
--- a/packages/policy/src/enginePace.ts
+++ b/packages/policy/src/enginePace.ts
@@ -49,7 +49,7 @@
   ) {}
 
   /** Records that a first event took `tookMs` from the send, with `tokens` to prefill. */
-  noteRead(tokens: number, tookMs: number): void {
+  notePrefill(tokens: number, tookMs: number): void {
     if (!this.isLearned || tokens < MIN_PREFILL_TOKENS) return;
     this.promptTokenMs.note(tookMs / tokens);
   }
@@ -62,7 +62,7 @@
   }
 
   /** Median time to prefill that many prompt tokens. */
-  readMs(tokens: number): number {
+  prefillMs(tokens: number): number {
     return tokens * this.promptTokenMs.value;
   }
 
@@ -72,12 +72,12 @@
   }
 
   /** 97th percentile of the time to produce that many output tokens. */
-  slowOutputMs(tokens: number): number {
+  p97OutputMs(tokens: number): number {
     return tokens * this.p97OutputTokenMs.value;
   }
 
   /** Time within which that many output tokens are almost certainly produced. */
-  longestOutputMs(tokens: number): number {
-    return this.slowOutputMs(tokens) * MAX_EXPECTED_FACTOR;
+  maxExpectedOutputMs(tokens: number): number {
+    return this.p97OutputMs(tokens) * MAX_EXPECTED_FACTOR;
   }
 }
--- a/packages/policy/src/freshLook.ts
+++ b/packages/policy/src/freshLook.ts
@@ -18,7 +18,10 @@
  * best, which are the same for all entries. The cost is two messages for each queried
  * engine, whatever the number of entries, and one round trip.
  */
-export function drawToAsk<T>(ranked: readonly T[], random: Random): T[] {
+export function sampleForLoadQuery<T>(
+  ranked: readonly T[],
+  random: Random,
+): T[] {
   const candidateCount = Math.max(
     SAMPLE_SIZE,
     Math.ceil(ranked.length * CANDIDATE_SHARE),
--- a/packages/policy/src/hedgedRead.ts
+++ b/packages/policy/src/hedgedRead.ts
@@ -5,7 +5,7 @@
   /** Time without a response after which the next read is sent. */
   readonly afterMs: number;
   /** Largest total number of reads. */
-  readonly mostOpen: number;
+  readonly maxReads: number;
 }
 
 /**
@@ -50,7 +50,7 @@
         if (isSettled) return;
         if (isAccepted(result) || open === 0) finish(result);
       });
-      if (sent >= settings.mostOpen || hasResponseStarted) return;
+      if (sent >= settings.maxReads || hasResponseStarted) return;
       cancelNext = clock.after(settings.afterMs, send);
     }
 
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -10,7 +10,7 @@
 export {
   EndpointChooser,
   predictedCompletionMs,
-  RouteKind,
+  RoutingRule,
 } from './chooseEndpoint.js';
 export type {Candidate, RouteChoice, RouteRequest} from './chooseEndpoint.js';
 export {
@@ -25,7 +25,7 @@
 export {DrainRate} from './drainRate.js';
 export {EnginePace} from './enginePace.js';
 export {estimateTokens} from './estimateTokens.js';
-export {drawToAsk} from './freshLook.js';
+export {sampleForLoadQuery} from './freshLook.js';
 export {hedgeRead} from './hedgedRead.js';
 export type {HedgeSettings} from './hedgedRead.js';
 export {isAllowedRegion} from './homes.js';
@@ -50,12 +50,12 @@
   storeWatchTimeoutMs,
 } from './leaveBound.js';
 export type {LeaveNotice} from './leaveBound.js';
-export {readAfter} from './bulkReads.js';
+export {chooseNextRead} from './bulkReads.js';
 export type {BulkAnswer, NextRead} from './bulkReads.js';
 export type {StoreRecovery} from './leaveBound.js';
 export {isCertainToFinish, isLikelyToFinish} from './lastGeneration.js';
 export type {ShutdownGeneration} from './lastGeneration.js';
-export {nextInRings, ringCount} from './linkRings.js';
+export {ringSuccessors, ringCount} from './linkRings.js';
 export {LengthEstimator, LengthModel} from './lengthModel.js';
 export type {SurvivalEstimate} from './lengthModel.js';
 export {OrganisationLimiter} from './organisationLimiter.js';
@@ -63,7 +63,7 @@
 export {PromptSizes} from './promptSizes.js';
 export {chooseTrialEndpoint} from './suspectPlace.js';
 export type {TrialCandidate} from './suspectPlace.js';
-export {urgency} from './queueOrder.js';
+export {queueKey} from './queueOrder.js';
 export type {QueueRule, WaitingGeneration} from './queueOrder.js';
 export {DoubtCause, PassiveHealth, NO_RESPONSE_LIMIT} from './outcomeHealth.js';
 export type {Doubt} from './outcomeHealth.js';
@@ -89,11 +89,11 @@
   PeerLimitReport,
 } from './statedLimit.js';
 export type {RetryCountBucket} from './repeatUse.js';
-export {returnAfter} from './returnTime.js';
+export {drawRetryAfter} from './returnTime.js';
 export {decideRoom} from './roomWait.js';
-export type {RoomDecision, RoomQuestion} from './roomWait.js';
+export type {RoomDecision, RoomRequest} from './roomWait.js';
 export {decideWithoutConfig, decideWithoutEndpoint} from './viewForecast.js';
 export type {ViewDecision, ViewFacts} from './viewForecast.js';
-export {gatherMs, ViewState} from './watchPace.js';
+export {batchDelayMs, ViewState} from './watchPace.js';
 export {compareWaiting} from './waitingOrder.js';
-export type {WaitingPlace} from './waitingOrder.js';
+export type {QueuePosition} from './waitingOrder.js';
--- a/packages/policy/src/lastGeneration.ts
+++ b/packages/policy/src/lastGeneration.ts
@@ -24,8 +24,8 @@
   pace: EnginePace,
 ): boolean {
   const {timeLeftMs, promptTokens, expectedOutputTokens} = generation;
-  const outputMs = pace.slowOutputMs(expectedOutputTokens);
-  return outputMs <= timeLeftMs - pace.readMs(promptTokens);
+  const outputMs = pace.p97OutputMs(expectedOutputTokens);
+  return outputMs <= timeLeftMs - pace.prefillMs(promptTokens);
 }
 
 /**
@@ -36,6 +36,6 @@
   {timeLeftMs, maxOutputTokens, longestSilenceMs}: ShutdownGeneration,
   pace: EnginePace,
 ): boolean {
-  const outputMs = pace.longestOutputMs(maxOutputTokens);
+  const outputMs = pace.maxExpectedOutputMs(maxOutputTokens);
   return outputMs <= timeLeftMs - longestSilenceMs;
 }
--- a/packages/policy/src/lengthModel.ts
+++ b/packages/policy/src/lengthModel.ts
@@ -20,7 +20,7 @@
   /** P(length > from + ahead | length > from). */
   survival(from: number, ahead: number): number;
   /** Expected number of further tokens after `from`, up to a total of `max`. */
-  expectedFurther(from: number, max: number): number;
+  expectedRemaining(from: number, max: number): number;
 }
 
 /**
@@ -59,7 +59,7 @@
     );
   }
 
-  expectedFurther(from: number, max: number): number {
+  expectedRemaining(from: number, max: number): number {
     let expected = 0;
     let position = from;
     let step = Math.max(4, from / 8);
--- a/packages/policy/src/linkRings.ts
+++ b/packages/policy/src/linkRings.ts
@@ -26,7 +26,7 @@
 }
 
 /** Names of the members that a member links to: its successor in each ring. */
-export function nextInRings(
+export function ringSuccessors(
   ownName: string,
   names: readonly string[],
 ): ReadonlySet<string> {
--- a/packages/policy/src/promptSizes.ts
+++ b/packages/policy/src/promptSizes.ts
@@ -22,7 +22,7 @@
   }
 
   /** Tokens that count against the latency goal: at most the median length. */
-  countedTokens(promptTokens: number): number {
+  cappedTokens(promptTokens: number): number {
     return Math.min(promptTokens, this.medianTokens.value);
   }
 }
--- a/packages/policy/src/queueOrder.ts
+++ b/packages/policy/src/queueOrder.ts
@@ -25,7 +25,7 @@
  * waiting removes one: a generation `n` levels behind goes before all newcomers after
  * `n * ageingMs`.
  */
-export function urgency(
+export function queueKey(
   rule: QueueRule,
   item: WaitingGeneration,
   nowMs: number,
--- a/packages/policy/src/returnTime.ts
+++ b/packages/policy/src/returnTime.ts
@@ -19,7 +19,7 @@
  * Refuses with a retry time of at least `minMs`, with jitter, if no retry can succeed
  * earlier.
  */
-export function returnAfter(minMs: number, random: Random): Refusal {
+export function drawRetryAfter(minMs: number, random: Random): Refusal {
   const factor = 1 + JITTER_SHARE * random();
   return {kind: 'refuse', retryAfterMs: Math.ceil(minMs * factor)};
 }
--- a/packages/policy/src/roomWait.ts
+++ b/packages/policy/src/roomWait.ts
@@ -3,7 +3,7 @@
 import type {Refusal} from './returnTime.js';
 
 /** A generation that found no room at any engine, at the time of the decision. */
-export interface RoomQuestion {
+export interface RoomRequest {
   /** Time until it is admitted, at the rate at which the queue drains. */
   readonly expectedWaitMs: number;
   /** How long it has been waiting. */
@@ -11,7 +11,7 @@
   /** How long any generation of the service has been short of room. */
   readonly shortForMs: number;
   /** Time of its prefill on an idle engine. */
-  readonly readMs: number;
+  readonly prefillMs: number;
   /** Time until its first event misses the latency goal; negative once it has. */
   readonly goalLeftMs: number;
 }
@@ -45,12 +45,12 @@
  * than half of the time.
  */
 export function decideRoom(
-  question: RoomQuestion,
+  question: RoomRequest,
   random: Random,
 ): RoomDecision {
-  const {waitedMs, readMs, goalLeftMs} = question;
+  const {waitedMs, prefillMs, goalLeftMs} = question;
   const forecastMs = Math.max(question.expectedWaitMs, waitedMs);
-  const inTime = chanceWithin(goalLeftMs - readMs, forecastMs);
+  const inTime = chanceWithin(goalLeftMs - prefillMs, forecastMs);
   if (inTime >= MIN_IN_TIME_CHANCE) return {kind: 'wait'};
   const retryAfterMs = Math.max(
     MIN_RETRY_AFTER_MS,
--- a/packages/policy/src/waitingOrder.ts
+++ b/packages/policy/src/waitingOrder.ts
@@ -1,10 +1,10 @@
 /** Decides the order in which waiting generations get room. */
-export interface WaitingPlace {
+export interface QueuePosition {
   /** Rank of the organisation, 0 first; takes precedence over the route's. */
   readonly organisationRank: number;
   readonly routeRank: number;
   /** Latest time to get room at which the latency goal is still met. */
-  readonly inTimeUntilMs: number;
+  readonly latestStartMs: number;
   /** When its caller gives up. */
   readonly deadlineMs: number;
 }
@@ -19,14 +19,14 @@
  * not put behind them again.
  */
 export function compareWaiting(
-  a: WaitingPlace,
-  b: WaitingPlace,
+  a: QueuePosition,
+  b: QueuePosition,
   nowMs: number,
 ): number {
   return (
     a.organisationRank - b.organisationRank ||
     a.routeRank - b.routeRank ||
-    Number(nowMs > a.inTimeUntilMs) - Number(nowMs > b.inTimeUntilMs) ||
+    Number(nowMs > a.latestStartMs) - Number(nowMs > b.latestStartMs) ||
     a.deadlineMs - b.deadlineMs
   );
 }
--- a/packages/policy/src/watchPace.ts
+++ b/packages/policy/src/watchPace.ts
@@ -5,9 +5,9 @@
   /** The view matches the registrations in the store. */
   SETTLED: 'settled',
   /** The store is reachable again, and endpoints register one by one. */
-  UNSETTLED: 'recovering',
+  RECOVERING: 'recovering',
   /** A configured service has no endpoint, so its calls are refused. */
-  LACKING: 'incomplete',
+  INCOMPLETE: 'incomplete',
 } as const;
 export type ViewState = (typeof ViewState)[keyof typeof ViewState];
 
@@ -25,13 +25,13 @@
  * recovery, the first endpoint to register would delay the discovery of all others, and
  * their calls would be refused meanwhile.
  */
-export function gatherMs(drainMs: number, view: ViewState): number {
+export function batchDelayMs(drainMs: number, view: ViewState): number {
   switch (view) {
     case ViewState.SETTLED:
       return drainMs * CHANGE_BATCHING_SHARE;
-    case ViewState.UNSETTLED:
+    case ViewState.RECOVERING:
       return Math.min(MAX_RECOVERING_DELAY_MS, drainMs * CHANGE_BATCHING_SHARE);
-    case ViewState.LACKING:
+    case ViewState.INCOMPLETE:
       return 0;
   }
 }
--- a/packages/relay/src/config/configFollower.ts
+++ b/packages/relay/src/config/configFollower.ts
@@ -1,4 +1,4 @@
-import {readAfter} from '@lilacledge/policy';
+import {chooseNextRead} from '@lilacledge/policy';
 import type {BulkAnswer, NextRead} from '@lilacledge/policy';
 import {assertNever, backoffMs, sleep} from '@lilacledge/shared';
 import type {Clock, Random} from '@lilacledge/shared';
@@ -106,7 +106,7 @@
       const step = await this.read(next, callSignal);
       if (step.kind === 'answered') {
         failures = 0;
-        next = readAfter(step, applyBoundMs());
+        next = chooseNextRead(step, applyBoundMs());
         continue;
       }
       // A call that was aborted locally says nothing about the store.
--- a/packages/relay/src/config/storeReads.ts
+++ b/packages/relay/src/config/storeReads.ts
@@ -15,7 +15,7 @@
  * A page whose response has not started after `afterMs` is requested again. The store
  * answers in 4 ms, and in 250 ms when it is slow; an unresponsive one never does.
  */
-const LIST_HEDGE = {afterMs: 300, mostOpen: 4};
+const LIST_HEDGE = {afterMs: 300, maxReads: 4};
 
 /** Responses whose bodies took at least this long to arrive are logged. */
 const SLOW_RESPONSE_MS = 100;
--- a/packages/relay/src/endpoints/chooseEngine.ts
+++ b/packages/relay/src/endpoints/chooseEngine.ts
@@ -108,7 +108,7 @@
     const use = uses.get(endpoint.id)!;
     const limitTokens = context.fillLimit * traits.memoryTokens;
     if (use.usedTokens + reservedTokens + needTokens > limitTokens) continue;
-    const waitMs = context.pace.readMs(use.backlogTokens);
+    const waitMs = context.pace.prefillMs(use.backlogTokens);
     if (waitMs > (context.maxWaitMs ?? Infinity)) continue;
     const score = engineScore(endpoint, use, traits, needTokens, context);
     ranked.push({endpoint, use, score, candidates: 0});
@@ -170,5 +170,5 @@
   promptTokens: number,
   {pace}: EngineChoiceContext,
 ): number {
-  return pace.readMs(use.backlogTokens + promptTokens);
+  return pace.prefillMs(use.backlogTokens + promptTokens);
 }
--- a/packages/relay/src/endpoints/endpointDirectory.ts
+++ b/packages/relay/src/endpoints/endpointDirectory.ts
@@ -81,9 +81,9 @@
   /** Completeness of the view of endpoints of the given services. */
   viewOf(services: readonly string[]): ViewState {
     if (services.some((service) => this.hasNoCandidate(service))) {
-      return ViewState.LACKING;
+      return ViewState.INCOMPLETE;
     }
-    return this.contact.isRecovering ? ViewState.UNSETTLED : ViewState.SETTLED;
+    return this.contact.isRecovering ? ViewState.RECOVERING : ViewState.SETTLED;
   }
 
   /** For how long the store has been available or unavailable. */
--- a/packages/relay/src/followStore.ts
+++ b/packages/relay/src/followStore.ts
@@ -1,4 +1,4 @@
-import {gatherMs, storeWatchTimeoutMs} from '@lilacledge/policy';
+import {batchDelayMs, storeWatchTimeoutMs} from '@lilacledge/policy';
 import type {Clock, Random} from '@lilacledge/shared';
 import {ConfigFollower} from './config/configFollower.js';
 import type {ConfigFollowing} from './config/configFollower.js';
@@ -211,7 +211,7 @@
     get gatherMs() {
       const services = config.current?.config.services ?? [];
       const names = services.map(({name}) => name);
-      return gatherMs(settings.drainMs, endpoints.viewOf(names));
+      return batchDelayMs(settings.drainMs, endpoints.viewOf(names));
     },
   };
 }
--- a/packages/relay/src/peers/linkPlan.ts
+++ b/packages/relay/src/peers/linkPlan.ts
@@ -1,4 +1,4 @@
-import {nextInRings} from '@lilacledge/policy';
+import {ringSuccessors} from '@lilacledge/policy';
 import {rendezvous} from '@lilacledge/shared';
 import type {Member} from './membership.js';
 
@@ -35,7 +35,7 @@
   if (others.length < MAX_FULL_MESH_ENTRIES) {
     return others.filter(({instance}) => instance < ownName);
   }
-  const dialled = nextInRings(
+  const dialled = ringSuccessors(
     ownName,
     others.map(({instance}) => instance),
   );
--- a/packages/relay/src/relayMetrics.ts
+++ b/packages/relay/src/relayMetrics.ts
@@ -153,7 +153,7 @@
     registers: [metrics.registry],
     collect() {
       for (const [service, pace] of paces()) {
-        this.set({service, work: 'read'}, pace.readMs(1) / 1_000);
+        this.set({service, work: 'read'}, pace.prefillMs(1) / 1_000);
         this.set({service, work: 'made'}, pace.outputMs(1) / 1_000);
       }
     },
--- a/packages/relay/src/requests/__tests__/admissionQueue.test.ts
+++ b/packages/relay/src/requests/__tests__/admissionQueue.test.ts
@@ -27,7 +27,7 @@
     position: {
       organisationRank,
       routeRank,
-      inTimeUntilMs: arrivedMs + 1_100,
+      latestStartMs: arrivedMs + 1_100,
       deadlineMs: arrivedMs + 6_000,
     },
     tokens: 3_000,
@@ -42,7 +42,7 @@
       const waitedMs = clock.nowMs() - arrivedMs;
       return {
         waitedMs,
-        readMs: 400,
+        prefillMs: 400,
         goalLeftMs: 1_500 - waitedMs,
       };
     },
--- a/packages/relay/src/requests/admissionQueue.ts
+++ b/packages/relay/src/requests/admissionQueue.ts
@@ -1,8 +1,8 @@
 import {compareWaiting, decideRoom, DrainRate} from '@lilacledge/policy';
 import type {
   RoomDecision,
-  RoomQuestion,
-  WaitingPlace,
+  RoomRequest,
+  QueuePosition,
 } from '@lilacledge/policy';
 import {middleOfRange} from '@lilacledge/shared';
 import type {Clock, Random} from '@lilacledge/shared';
@@ -16,11 +16,11 @@
 const SHORTAGE_GAP_MS = 1_000;
 
 /** The current state of a waiting request, used to decide whether it keeps waiting. */
-export type WaiterOutlook = Omit<RoomQuestion, 'expectedWaitMs' | 'shortForMs'>;
+export type WaiterOutlook = Omit<RoomRequest, 'expectedWaitMs' | 'shortForMs'>;
 
 /** A request that waits for room at an engine. */
 export interface Waiter<T> {
-  readonly position: WaitingPlace;
+  readonly position: QueuePosition;
   readonly signal: AbortSignal;
   /** Engine memory that the request needs. */
   readonly tokens: number;
@@ -139,7 +139,7 @@
     this.lastShortMs = nowMs;
   }
 
-  private decide(question: RoomQuestion): RoomDecision {
+  private decide(question: RoomRequest): RoomDecision {
     const {waitForRoom, spreadReturns} = this.switches;
     const goalLeftMs = waitForRoom ? question.goalLeftMs : 0;
     const random = spreadReturns ? this.random : middleOfRange;
@@ -154,7 +154,7 @@
     let aheadTokens = 0;
     return waiting.filter(({waiter, settle}) => {
       aheadTokens += waiter.tokens;
-      const expectedWaitMs = this.drain.timeForMs(aheadTokens);
+      const expectedWaitMs = this.drain.expectedWaitMs(aheadTokens);
       const question = {...waiter.outlook(), expectedWaitMs, shortForMs};
       const decision = this.decide(question);
       if (decision.kind === 'wait') return true;
--- a/packages/relay/src/requests/callSends.ts
+++ b/packages/relay/src/requests/callSends.ts
@@ -116,7 +116,7 @@
 
   private isLate(sending: Promise<CallOutcome>): Promise<boolean> {
     const {clock, allowed} = this.exchange;
-    const delayMs = this.context.callTimesOf(allowed.service).usualMs;
+    const delayMs = this.context.callTimesOf(allowed.service).p97Ms;
     return new Promise((resolve) => {
       const cancel = clock.after(delayMs, () => resolve(true));
       void sending.then(() => {
--- a/packages/relay/src/requests/generationAdmission.ts
+++ b/packages/relay/src/requests/generationAdmission.ts
@@ -1,5 +1,5 @@
 import {
-  drawToAsk,
+  sampleForLoadQuery,
   isCertainToFinish,
   isLikelyToFinish,
   chooseTrialEndpoint,
@@ -7,7 +7,7 @@
 import type {
   EnginePace,
   ShutdownGeneration,
-  WaitingPlace,
+  QueuePosition,
 } from '@lilacledge/policy';
 import {assertNever} from '@lilacledge/shared';
 import {fillLimit, rankEngines} from '../endpoints/chooseEngine.js';
@@ -133,7 +133,7 @@
 
   /** Prefill time of the prompt at an idle engine. */
   private get prefillMs(): number {
-    return this.pace.readMs(this.size.promptTokens);
+    return this.pace.prefillMs(this.size.promptTokens);
   }
 
   private get pace(): EnginePace {
@@ -149,14 +149,14 @@
     };
   }
 
-  private queuePosition(): WaitingPlace {
+  private queuePosition(): QueuePosition {
     const {exchange} = this;
     const {route, arrivedMs} = exchange.allowed;
     const {urgency} = this;
     return {
       organisationRank: urgency.organisation,
       routeRank: urgency.route,
-      inTimeUntilMs: arrivedMs + route.latencyGoalMs - this.prefillMs,
+      latestStartMs: arrivedMs + route.latencyGoalMs - this.prefillMs,
       deadlineMs: exchange.deadlineMs,
     };
   }
@@ -165,7 +165,7 @@
   private get countedPrefillMs(): number {
     const {context, exchange, pace, size} = this;
     const sizes = context.promptSizesOf(exchange.allowed.service);
-    return pace.readMs(sizes.countedTokens(size.promptTokens));
+    return pace.prefillMs(sizes.cappedTokens(size.promptTokens));
   }
 
   /** Maximum wait at an engine for which the first event counts as within the latency goal. */
@@ -178,7 +178,7 @@
     const {exchange, countedPrefillMs} = this;
     const {ageMs} = exchange;
     const goalLeftMs = exchange.allowed.route.latencyGoalMs - ageMs;
-    return {waitedMs: ageMs, readMs: countedPrefillMs, goalLeftMs};
+    return {waitedMs: ageMs, prefillMs: countedPrefillMs, goalLeftMs};
   }
 
   private logChosen(choice: EngineChoice): void {
@@ -217,7 +217,7 @@
       leastUsedTokens: Math.min(...uses.map(({usedTokens}) => usedTokens)),
       limitTokens: Math.round(limit * traits.memoryTokens),
       leastBacklogTokens,
-      leastWaitMs: Math.round(this.pace.readMs(leastBacklogTokens)),
+      leastWaitMs: Math.round(this.pace.prefillMs(leastBacklogTokens)),
       longestWaitMs: Math.round(this.longestWaitMs),
       oldestReportMs: Math.round(
         Math.max(...uses.map(({reportAgeMs}) => reportAgeMs ?? 0)),
@@ -254,7 +254,7 @@
       return candidate === undefined ? [] : [candidate.choice];
     }
     return context.switches.freshLook
-      ? drawToAsk(ranked, context.random)
+      ? sampleForLoadQuery(ranked, context.random)
       : ranked.slice(0, 1);
   }
 
@@ -325,7 +325,7 @@
     if (pendingPrefill === undefined) return;
     this.pendingPrefill = undefined;
     const tookMs = this.context.clock.nowMs() - pendingPrefill.sinceMs;
-    this.pace.noteRead(pendingPrefill.tokens, tookMs);
+    this.pace.notePrefill(pendingPrefill.tokens, tookMs);
   }
 
   /** Releases the reserved memory once the run itself is counted, or is not sent. */
--- a/packages/relay/src/requests/permittedPlaces.ts
+++ b/packages/relay/src/requests/permittedPlaces.ts
@@ -1,4 +1,4 @@
-import {isAllowedRegion, returnAfter} from '@lilacledge/policy';
+import {isAllowedRegion, drawRetryAfter} from '@lilacledge/policy';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import {retryAfterRandom} from './awaitView.js';
 import type {AllowedRequest} from './callerExchange.js';
@@ -59,5 +59,5 @@
     );
   }
   if (shortestWaitMs <= 0 || !Number.isFinite(shortestWaitMs)) return undefined;
-  return returnAfter(shortestWaitMs, retryAfterRandom(context)).retryAfterMs;
+  return drawRetryAfter(shortestWaitMs, retryAfterRandom(context)).retryAfterMs;
 }
--- a/packages/relay/src/requests/relayCall.ts
+++ b/packages/relay/src/requests/relayCall.ts
@@ -42,8 +42,8 @@
   context: RelayContext,
   exchange: CallerExchange,
 ): boolean {
-  const {longestMs} = context.callTimesOf(exchange.allowed.service);
-  const neededMs = Math.min(exchange.timeLeftMs, longestMs);
+  const {maxExpectedMs} = context.callTimesOf(exchange.allowed.service);
+  const neededMs = Math.min(exchange.timeLeftMs, maxExpectedMs);
   return context.clock.nowMs() + neededMs > context.closing.endsAtMs;
 }
 
@@ -84,7 +84,7 @@
     case 'notRun': {
       // Full endpoints should have a free slot again after the usual duration of a call.
       const retryAfterMs =
-        outcome.retryAfterMs ?? context.callTimesOf(service).usualMs;
+        outcome.retryAfterMs ?? context.callTimesOf(service).p97Ms;
       const status = Status.UNAVAILABLE;
       answerWithText(response, closing, status, outcome.detail, retryAfterMs);
       return;
--- a/packages/sidecar/src/engineScheduler.ts
+++ b/packages/sidecar/src/engineScheduler.ts
@@ -4,7 +4,7 @@
 import {
   decideAdmission,
   LengthEstimator,
-  urgency,
+  queueKey,
   usableCapacity,
 } from '@lilacledge/policy';
 import type {
@@ -160,7 +160,7 @@
   private toScheduled(generation: Generation): ScheduledGeneration {
     const {organisationId, promptTokens, maxTokens} = generation.request;
     const lengthModel = this.estimator.modelFor(organisationId, maxTokens);
-    const expectedOutputTokens = lengthModel.expectedFurther(0, maxTokens);
+    const expectedOutputTokens = lengthModel.expectedRemaining(0, maxTokens);
     return {
       generation,
       lengthModel,
@@ -281,13 +281,13 @@
     const rule = toQueueRule(this.policy);
     const keyed = this.waiting.map((item) => ({
       item,
-      key: urgency(rule, this.toWaiting(item), nowMs),
+      key: queueKey(rule, this.toWaiting(item), nowMs),
     }));
     keyed.sort((a, b) => a.key - b.key);
     return keyed.map(({item}) => item);
   }
 
-  private toWaiting(item: ScheduledGeneration): Parameters<typeof urgency>[1] {
+  private toWaiting(item: ScheduledGeneration): Parameters<typeof queueKey>[1] {
     const {organisationId, priority} = item.generation.request;
     return {
       arrivedMs: item.generation.arrivedMs,
@@ -356,14 +356,14 @@
     if (rate === undefined) return 0;
     const rule = toQueueRule(this.policy);
     const nowMs = this.ports.clock.nowMs();
-    const ownKey = urgency(
+    const ownKey = queueKey(
       rule,
       {arrivedMs: nowMs, priority, expectedTokens, organisationUse: 1},
       nowMs,
     );
     let tokensAhead = expectedTokens;
     for (const item of this.waiting) {
-      if (urgency(rule, this.toWaiting(item), nowMs) > ownKey) continue;
+      if (queueKey(rule, this.toWaiting(item), nowMs) > ownKey) continue;
       tokensAhead += item.expectedTokens;
     }
     return tokensAhead / rate;
@@ -394,7 +394,10 @@
     for (const item of this.waiting) sum += item.expectedTokens;
     for (const {generation, lengthModel} of this.running.values()) {
       const {maxTokens} = generation.request;
-      sum += lengthModel.expectedFurther(generation.producedTokens, maxTokens);
+      sum += lengthModel.expectedRemaining(
+        generation.producedTokens,
+        maxTokens,
+      );
     }
     return sum;
   }
--- a/packages/sidecar/src/scheduled.ts
+++ b/packages/sidecar/src/scheduled.ts
@@ -48,7 +48,7 @@
   const {promptTokens, maxTokens} = item.generation.request;
   return {
     heldTokens: promptTokens + item.generation.producedTokens,
-    produced: item.generation.producedTokens,
+    producedTokens: item.generation.producedTokens,
     maxTokens,
     lengths: item.lengthModel,
   };
