--- a/packages/relay/src/createRelayEntry.ts
+++ b/packages/relay/src/createRelayEntry.ts
@@ -34,7 +34,7 @@
 } from './relayMetrics.js';
 import type {RelayMetrics} from './relayMetrics.js';
 import {AdmissionQueue} from './requests/admissionQueue.js';
-import type {EngineTaken} from './requests/generationAdmission.js';
+import type {EngineReservation} from './requests/generationAdmission.js';
 import {handleRequest} from './requests/handleRequest.js';
 import type {RelayContext} from './requests/relayContext.js';
 import {RunRegistry} from './requests/runRegistry.js';
@@ -114,7 +114,7 @@
   const paces = new PerService(() => new EnginePace(switches.learnedPace));
   const promptSizes = new PerService(() => new PromptSizes());
   const admissions = new PerService(
-    () => new AdmissionQueue<EngineTaken>(clock, random, switches),
+    () => new AdmissionQueue<EngineReservation>(clock, random, switches),
   );
   let openRequests = 0;
 
@@ -153,7 +153,7 @@
     promptSizesOf: (service) => promptSizes.of(service),
     admissionOf: (service) => admissions.of(service),
     entryCount: () => peers.entryCount,
-    askLoads: (queried, prompt) => peers.askLoads(queried, prompt),
+    queryLoads: (queried, prompt) => peers.askLoads(queried, prompt),
     releaseLoads: (queried, prompt) => peers.releaseLoads(queried, prompt),
     zoneLoads: new ZoneLoads(),
   };
@@ -177,7 +177,7 @@
     () => evacuator,
     linkAddress,
   );
-  context.runs.follow(peers);
+  context.runs.setListener(peers);
   endpoints.onLeaving((endpoint) => void evacuator.planAlone(endpoint));
   const linkServer = peers.start();
   const metricsServer = startMetricsServer(
--- a/packages/relay/src/evacuation/runMover.ts
+++ b/packages/relay/src/evacuation/runMover.ts
@@ -203,7 +203,7 @@
       pace: context.paceOf(service),
       fillLimit: MAX_FILL_SHARE,
       accepts: (endpoint) =>
-        run.mayBeAt(endpoint) &&
+        run.isAllowedAt(endpoint) &&
         context.sendLimits.allows(endpoint) &&
         canCopyInTime(context, run, traits, endpoint),
     },
--- a/packages/relay/src/http/hasEnded.ts
+++ b/packages/relay/src/http/hasEnded.ts
@@ -14,7 +14,10 @@
  * once. A running endpoint keeps an idle connection open. An unreachable endpoint is not
  * reported as ended.
  */
-export function hasEnded({host, port}: EndpointAddress): Promise<boolean> {
+export function hasProcessEnded({
+  host,
+  port,
+}: EndpointAddress): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = connect({host, port, timeout: CONNECT_TIMEOUT_MS});
     let heldOpen: NodeJS.Timeout | undefined;
--- a/packages/relay/src/peers/entryPeers.ts
+++ b/packages/relay/src/peers/entryPeers.ts
@@ -382,7 +382,7 @@
     if (!endpoints.noteStart(endpoint, report.startedAtMs)) return;
     endpoint.noteReport(report, clock.nowMs());
     this.loadQueries.noteLoad(endpoint);
-    this.context.admissionOf(endpoint.record.service).poke();
+    this.context.admissionOf(endpoint.record.service).recheck();
     if (report.leavesInMs === undefined) return;
     endpoints.noteLeaving(endpoint, LeaveSource.REPORT, report.leavesInMs);
   }
--- a/packages/relay/src/requests/__tests__/admissionQueue.test.ts
+++ b/packages/relay/src/requests/__tests__/admissionQueue.test.ts
@@ -58,7 +58,7 @@
   it('admits by organisation, then by route, then by arrival', async () => {
     const all = [wait('d', 1, 0), wait('c', 0, 1), wait('a'), wait('b')];
     room = 4;
-    queue.poke();
+    queue.recheck();
     await Promise.all(all);
     expect(order).toEqual(['a', 'b', 'c', 'd']);
   });
@@ -138,7 +138,7 @@
       for (let index = 0; index < 40; index++) void wait(`${index}`);
       for (let round = 0; round < 40; round++) {
         room = opensRoom ? 1 : 0;
-        queue.poke();
+        queue.recheck();
         await clock.advance(20);
         if (!opensRoom) continue;
         queue.noteWithdrawn(3_000);
@@ -167,7 +167,7 @@
     const waiting = wait('a', 0, 0, abort.signal);
     abort.abort();
     room = 1;
-    queue.poke();
+    queue.recheck();
     expect(await waiting).toEqual({kind: 'callerLeft'});
     expect(room).toBe(1);
   });
--- a/packages/relay/src/requests/admissionQueue.ts
+++ b/packages/relay/src/requests/admissionQueue.ts
@@ -85,7 +85,7 @@
   }
 
   /** Processes the queue again, as room may have become free. */
-  poke(): void {
+  recheck(): void {
     if (this.queued.length > 0) this.processQueue();
   }
 
--- a/packages/relay/src/requests/generationAdmission.ts
+++ b/packages/relay/src/requests/generationAdmission.ts
@@ -40,7 +40,7 @@
   | {readonly kind: 'refused'; readonly retryAfterMs: number};
 
 /** A reservation at one engine, and the candidates to query, one of which may prove better. */
-export interface EngineTaken {
+export interface EngineReservation {
   readonly choice: EngineChoice;
   readonly permit: SendPermit;
   readonly toQuery: readonly Endpoint[];
@@ -230,7 +230,9 @@
   }
 
   /** Reserves room at the best candidate until the run itself is counted there. */
-  private tryReserve(rejectedBy: ReadonlySet<string>): EngineTaken | undefined {
+  private tryReserve(
+    rejectedBy: ReadonlySet<string>,
+  ): EngineReservation | undefined {
     const ranked = this.rankWithRoom(({id}) => !rejectedBy.has(id));
     const drawn = this.drawCandidates(ranked);
     const [choice] = drawn.sort((a, b) => a.score - b.score);
@@ -263,14 +265,14 @@
    * Resolves with undefined if none of them has room any more.
    */
   private async reserveByFreshLoad(
-    taken: EngineTaken,
-  ): Promise<EngineTaken | undefined> {
+    taken: EngineReservation,
+  ): Promise<EngineReservation | undefined> {
     const {context, exchange, size} = this;
     if (!context.switches.freshLook) return taken;
     const {permit, toQuery} = taken;
     const {promptTokens} = size;
     const prompt = {requestId: exchange.id, promptTokens};
-    await context.askLoads(toQuery, prompt);
+    await context.queryLoads(toQuery, prompt);
     this.release(permit.endpoint);
     context.sendLimits.withdraw(permit);
     const [best] = this.rankWithRoom((endpoint) => toQuery.includes(endpoint));
--- a/packages/relay/src/requests/relayContext.ts
+++ b/packages/relay/src/requests/relayContext.ts
@@ -22,7 +22,7 @@
 import type {Switches} from '../switches.js';
 import type {AdmissionQueue} from './admissionQueue.js';
 import type {ClosingState} from './answerCaller.js';
-import type {EngineTaken} from './generationAdmission.js';
+import type {EngineReservation} from './generationAdmission.js';
 import type {RunRegistry} from './runRegistry.js';
 
 /** Dependencies and shared state of this process that request handling uses. */
@@ -54,11 +54,14 @@
   /** The usual prompt size of a service. */
   promptSizesOf(service: string): PromptSizes;
   /** The queue of requests that wait for room at a service's engines. */
-  admissionOf(service: string): AdmissionQueue<EngineTaken>;
+  admissionOf(service: string): AdmissionQueue<EngineReservation>;
   /** Number of entries that serve callers now, including this one. */
   entryCount(): number;
   /** Queries the current loads of engines, which count the prompt from then on. */
-  askLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): Promise<void>;
+  queryLoads(
+    endpoints: readonly Endpoint[],
+    prompt: AskedPrompt,
+  ): Promise<void>;
   /** Tells engines that they will not get the prompt that they were queried for. */
   releaseLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): void;
   /** Loads of engines whose sidecars do not report to this process. */
--- a/packages/relay/src/requests/runRegistry.ts
+++ b/packages/relay/src/requests/runRegistry.ts
@@ -29,7 +29,7 @@
     readonly tokensPerEvent: number,
     readonly startedMs: number,
     /** Whether an endpoint is in an allowed region of the run's request. */
-    readonly mayBeAt: (endpoint: Endpoint) => boolean = () => true,
+    readonly isAllowedAt: (endpoint: Endpoint) => boolean = () => true,
   ) {}
 
   /** Input for predictions of the run's remaining length. */
@@ -64,7 +64,7 @@
     return this.byId.get(requestId);
   }
 
-  follow(listener: RunListener): void {
+  setListener(listener: RunListener): void {
     this.listener = listener;
   }
 
--- a/packages/relay/src/suspicions/requestSuspicions.ts
+++ b/packages/relay/src/suspicions/requestSuspicions.ts
@@ -12,7 +12,7 @@
 import {assertNever} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
 import type {Endpoint} from '../endpoints/endpoint.js';
-import {hasEnded} from '../http/hasEnded.js';
+import {hasProcessEnded} from '../http/hasEnded.js';
 import type {DecisionLogger} from '../log/boundedLog.js';
 import type {CallerExchange} from '../requests/callerExchange.js';
 
@@ -136,7 +136,7 @@
     {exposure, sentMs}: BrokenSend,
   ): Promise<void> {
     if (isPlannedExit(this.leaveOf(endpoint))) return;
-    if (!(await hasEnded(endpoint.record.address))) return;
+    if (!(await hasProcessEnded(endpoint.record.address))) return;
     const {fingerprint} = exchange;
     const sentAgoMs = this.clock.nowMs() - sentMs;
     const life = incarnationOf(endpoint);
