--- a/packages/relay/src/config/__tests__/routeTable.test.ts
+++ b/packages/relay/src/config/__tests__/routeTable.test.ts
@@ -11,7 +11,7 @@
     requestClass: RequestClass.IDEMPOTENT,
     timeoutMs: 1_000,
     latencyGoalMs: 300,
-    silenceLimitMs: 2_000,
+    streamIdleTimeoutMs: 2_000,
     priority: 0,
     targets: (weights ?? [1]).map((weight, index) => ({
       service: `s${index}`,
--- a/packages/relay/src/createRelayEntry.ts
+++ b/packages/relay/src/createRelayEntry.ts
@@ -13,7 +13,7 @@
 import {countCalls} from './config/countedStore.js';
 import {SendLimits} from './endpoints/sendLimits.js';
 import {EndpointDirectory} from './endpoints/endpointDirectory.js';
-import {EndpointStatements} from './endpoints/endpointStatements.js';
+import {EndpointAnnouncements} from './endpoints/endpointStatements.js';
 import {ZoneEvacuations} from './endpoints/zoneEvacuations.js';
 import {ViewGate} from './endpoints/viewGate.js';
 import {ZoneLoads} from './endpoints/zoneLoads.js';
@@ -40,7 +40,7 @@
 import {RunRegistry} from './requests/runRegistry.js';
 import type {RelaySettings} from './settings.js';
 import {RequestSuspicions} from './suspicions/requestSuspicions.js';
-import {keepSuspicions} from './suspicions/storedSuspicions.js';
+import {storeQuarantines} from './suspicions/storedSuspicions.js';
 import type {Switches} from './switches.js';
 
 /** Part of the grace period that is kept for the process to exit by itself. */
@@ -127,7 +127,7 @@
     metrics,
     codec,
     endpoints,
-    statements: new EndpointStatements(
+    statements: new EndpointAnnouncements(
       clock,
       log,
       endpoints,
@@ -178,7 +178,9 @@
     linkAddress,
   );
   context.runs.setListener(peers);
-  endpoints.onLeaving((endpoint) => void evacuator.planAlone(endpoint));
+  endpoints.onLeaving(
+    (endpoint) => void evacuator.moveRunsWithoutSidecar(endpoint),
+  );
   const linkServer = peers.start();
   const metricsServer = startMetricsServer(
     metrics.registry,
@@ -198,7 +200,7 @@
     stopped.signal,
   );
 
-  keepSuspicions({
+  storeQuarantines({
     store,
     prefix: codec.suspicionPrefix,
     clock,
--- a/packages/relay/src/endpoints/__tests__/endpointDirectory.test.ts
+++ b/packages/relay/src/endpoints/__tests__/endpointDirectory.test.ts
@@ -10,7 +10,7 @@
 beforeEach(() => {
   directory = new EndpointDirectory(new VirtualClock(), silentLog);
   reported = [];
-  directory.onDoubtToTell(({id}) => reported.push(id));
+  directory.onDoubtToReport(({id}) => reported.push(id));
   for (const [index, id] of ['a', 'b', 'c'].entries()) {
     const address = {host: '10.0.0.1', port: 80 + index};
     directory.upsert(testRecord({id, address}), index + 1);
@@ -63,7 +63,7 @@
       clock = new VirtualClock();
       directory = new EndpointDirectory(clock, silentLog);
       directory.upsert(testRecord(), 1);
-      directory.noteStoreReturned({atMs: 0, lastFailedMs: 0}, 3_000);
+      directory.noteStoreAvailable({atMs: 0, lastFailedMs: 0}, 3_000);
     });
 
     /** Time after the removal for which the endpoint may get work. */
--- a/packages/relay/src/endpoints/__tests__/incarnations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/incarnations.test.ts
@@ -80,11 +80,11 @@
 
   it('inherits no state from its former incarnation', () => {
     const former = register();
-    former.promisedTokens = 9_000;
+    former.incomingTokens = 9_000;
     former.outstanding = 3;
     former.load = {value: {running: 6, waiting: 9, slots: 6}, atMs: 0};
     const restarted = restart();
-    expect(restarted.promisedTokens).toBe(0);
+    expect(restarted.incomingTokens).toBe(0);
     expect(restarted.outstanding).toBe(0);
     expect(restarted.load).toBeUndefined();
     expect(restarted.report).toBeUndefined();
@@ -99,7 +99,7 @@
 
   it('is not doubted for failed sends to its former incarnation', () => {
     const reported: string[] = [];
-    directory.onDoubtToTell(({id}) => reported.push(id));
+    directory.onDoubtToReport(({id}) => reported.push(id));
     const former = register();
     const restarted = restart();
     former.health.noteNoResponse(clock.nowMs(), true, 1);
@@ -119,7 +119,7 @@
   it('wakes requests that wait for an endpoint', () => {
     register({state: EndpointState.DRAINING});
     let seen = 0;
-    directory.onceSeen('drafts', () => seen++);
+    directory.onceAvailable('drafts', () => seen++);
     restart();
     expect(seen).toBe(1);
   });
@@ -151,10 +151,10 @@
 
     it('ignores reports of an earlier start, and ends with a report of a later one', () => {
       const known = register();
-      expect(directory.noteStart(known, STARTED_AT_MS - 1)).toBe(false);
-      expect(directory.noteStart(known, STARTED_AT_MS)).toBe(true);
+      expect(directory.noteReportedStart(known, STARTED_AT_MS - 1)).toBe(false);
+      expect(directory.noteReportedStart(known, STARTED_AT_MS)).toBe(true);
       expect(directory.get('a')).toBe(known);
-      expect(directory.noteStart(known, STARTED_AT_MS + 1)).toBe(false);
+      expect(directory.noteReportedStart(known, STARTED_AT_MS + 1)).toBe(false);
       expect(directory.get('a')).toBeUndefined();
     });
   });
--- a/packages/relay/src/endpoints/__tests__/limitNews.test.ts
+++ b/packages/relay/src/endpoints/__tests__/limitNews.test.ts
@@ -4,7 +4,7 @@
 import {testRecord} from '../../__tests__/testRecord.js';
 import {silentLog} from '../../log/boundedLog.js';
 import {EndpointDirectory} from '../endpointDirectory.js';
-import {EndpointStatements} from '../endpointStatements.js';
+import {EndpointAnnouncements} from '../endpointStatements.js';
 
 const NO_LIMIT: LimitAnnouncement = {kind: 'none'};
 
@@ -16,7 +16,7 @@
 const MAX_DELIVERED = 20_000;
 
 interface Entry {
-  readonly statements: EndpointStatements;
+  readonly statements: EndpointAnnouncements;
   readonly directory: EndpointDirectory;
 }
 
@@ -36,7 +36,7 @@
     const directory = new EndpointDirectory(clock, silentLog);
     directory.upsert(testRecord({}), 1);
     const name = `e-${index}`;
-    const statements = new EndpointStatements(
+    const statements = new EndpointAnnouncements(
       clock,
       silentLog,
       directory,
@@ -45,12 +45,12 @@
     return {statements, directory};
   });
   for (const entry of entries) {
-    entry.statements.onLimitToTell((_endpoint, report) => {
+    entry.statements.onLimitToReport((_endpoint, report) => {
       for (const other of entries) {
         if (other === entry) continue;
         clock.after(MIN_DELAY_MS + random() * DELAY_RANGE_MS, () => {
           if (++delivered > MAX_DELIVERED) return;
-          other.statements.noteLimitTold(other.directory.get('a')!, report);
+          other.statements.notePeerLimit(other.directory.get('a')!, report);
         });
       }
     });
@@ -67,7 +67,7 @@
 }
 
 function rates(): Array<number | undefined> {
-  return entries.map(({directory}) => directory.get('a')!.terms.limit.perS);
+  return entries.map(({directory}) => directory.get('a')!.announced.limit.perS);
 }
 
 describe('reports of the rate limit that an endpoint announces', () => {
@@ -110,14 +110,14 @@
     await clock.advance(1_000);
     const directory = new EndpointDirectory(clock, silentLog);
     directory.upsert(testRecord({}), 1);
-    const restarted = new EndpointStatements(
+    const restarted = new EndpointAnnouncements(
       clock,
       silentLog,
       directory,
       'e-1',
     );
     const reports: unknown[] = [];
-    restarted.onLimitToTell((_endpoint, report) => reports.push(report));
+    restarted.onLimitToReport((_endpoint, report) => reports.push(report));
     const head = {limit: {kind: 'stated', perS: 3}, isNotRun: false} as const;
     const endpoint = directory.get('a')!;
     restarted.noteAnswer(
@@ -126,10 +126,10 @@
       clock.nowMs(),
     );
     const [other] = entries;
-    other!.statements.noteLimitTold(
+    other!.statements.notePeerLimit(
       other!.directory.get('a')!,
-      reports[0] as Parameters<EndpointStatements['noteLimitTold']>[1],
+      reports[0] as Parameters<EndpointAnnouncements['notePeerLimit']>[1],
     );
-    expect(other!.directory.get('a')!.terms.limit.perS).toBe(3);
+    expect(other!.directory.get('a')!.announced.limit.perS).toBe(3);
   });
 });
--- a/packages/relay/src/endpoints/__tests__/registrations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/registrations.test.ts
@@ -101,7 +101,7 @@
 
     it('wakes requests that wait for an endpoint once a valid registration replaces it', () => {
       let seen = 0;
-      directory.onceSeen('drafts', () => seen++);
+      directory.onceAvailable('drafts', () => seen++);
       write('a', 'no entry');
       write('a', entry('a', 80));
       expect(seen).toBe(1);
--- a/packages/relay/src/endpoints/__tests__/saidLeaves.test.ts
+++ b/packages/relay/src/endpoints/__tests__/saidLeaves.test.ts
@@ -5,7 +5,7 @@
 import {EndpointState} from '../../model/index.js';
 import type {Endpoint} from '../endpoint.js';
 import {EndpointDirectory} from '../endpointDirectory.js';
-import {EndpointStatements} from '../endpointStatements.js';
+import {EndpointAnnouncements} from '../endpointStatements.js';
 
 const DRAIN_MS = 2_000;
 const STARTED_AT_MS = 1_700_000_000_000;
@@ -27,7 +27,7 @@
 }
 
 function announceLeave(endpoint: Endpoint): void {
-  new EndpointStatements(clock, silentLog, directory, 'e-1').noteAnswer(
+  new EndpointAnnouncements(clock, silentLog, directory, 'e-1').noteAnswer(
     endpoint,
     {limit: {kind: 'none'}, isNotRun: false, saysLeaving: true},
     clock.nowMs(),
--- a/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
+++ b/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
@@ -7,7 +7,7 @@
 import {SendLimits} from '../sendLimits.js';
 import type {Endpoint} from '../endpoint.js';
 import {EndpointDirectory} from '../endpointDirectory.js';
-import {EndpointStatements} from '../endpointStatements.js';
+import {EndpointAnnouncements} from '../endpointStatements.js';
 import {ZoneEvacuations} from '../zoneEvacuations.js';
 
 const WARM_UP = {durationMs: 4_000, ratePerS: 8};
@@ -42,7 +42,7 @@
 function sendAll(limits: SendLimits, endpoint: Endpoint): number {
   for (let count = 0; count < 100; count++) {
     if (!limits.allows(endpoint)) return count;
-    limits.take(endpoint);
+    limits.acquire(endpoint);
   }
   return 100;
 }
@@ -53,7 +53,7 @@
     await clock.advance(SETTLE_MS);
     const endpoint = register(2_500);
     expect(sendAll(limits, endpoint)).toBe(4);
-    expect(limits.freeInMs(endpoint)).toBe(1_000);
+    expect(limits.nextSendInMs(endpoint)).toBe(1_000);
     await clock.advance(400);
     expect(sendAll(limits, endpoint)).toBe(0);
     await clock.advance(601);
@@ -90,9 +90,9 @@
     const limits = limitsOf('e-1', ['e-1', 'e-2']);
     await clock.advance(SETTLE_MS);
     const endpoint = register(2_500);
-    const permit = limits.take(endpoint);
+    const permit = limits.acquire(endpoint);
     expect(sendAll(limits, endpoint)).toBe(3);
-    limits.withdraw(permit);
+    limits.release(permit);
     expect(sendAll(limits, endpoint)).toBe(1);
   });
 
@@ -107,7 +107,7 @@
       await clock.advance(random() * 5);
       const limits = all[Math.floor(random() * all.length)]!;
       if (!limits.allows(endpoint)) continue;
-      limits.take(endpoint);
+      limits.acquire(endpoint);
       sentMs.push(clock.nowMs());
     }
     const most = Math.max(
@@ -168,7 +168,7 @@
   interface Entry {
     readonly limits: SendLimits;
     readonly directory: EndpointDirectory;
-    readonly statements: EndpointStatements;
+    readonly statements: EndpointAnnouncements;
     learnedAtMs: number;
   }
 
@@ -187,7 +187,7 @@
       sharers,
       () => SETTLE_MS,
     );
-    const statements = new EndpointStatements(clock, silentLog, own, self);
+    const statements = new EndpointAnnouncements(clock, silentLog, own, self);
     return {limits, directory: own, statements, learnedAtMs: Infinity};
   }
 
@@ -202,11 +202,11 @@
   ): Promise<Sent[]> {
     const random = createRandom(11);
     for (const entry of entries) {
-      entry.statements.onLimitToTell((_endpoint, report) => {
+      entry.statements.onLimitToReport((_endpoint, report) => {
         clock.after(LINK_DELAY_MS, () => {
           for (const other of entries) {
             if (other === entry) continue;
-            other.statements.noteLimitTold(endpointOf(other), report);
+            other.statements.notePeerLimit(endpointOf(other), report);
           }
         });
       });
@@ -218,7 +218,7 @@
       const entry = entries[Math.floor(random() * entries.length)]!;
       const endpoint = endpointOf(entry);
       if (!entry.limits.allows(endpoint)) continue;
-      entry.limits.take(endpoint);
+      entry.limits.acquire(endpoint);
       const atMs = clock.nowMs();
       sent.push({atMs, entry});
       clock.after(ANSWER_DELAY_MS, () => {
@@ -308,7 +308,7 @@
     const entries = names.map((self) => entryOf(self, names));
     await clock.advance(SETTLE_MS);
     for (const entry of entries) {
-      entry.statements.noteLimitTold(endpointOf(entry), {
+      entry.statements.notePeerLimit(endpointOf(entry), {
         perS: 0.5,
         ageMs: 0,
         version: 1,
--- a/packages/relay/src/endpoints/__tests__/zoneEvacuations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/zoneEvacuations.test.ts
@@ -63,15 +63,15 @@
     });
 
     it('end when a complete read does not contain them', () => {
-      zones.noteTold(ordered(7));
-      zones.noteTold(ordered(8, 'south'));
+      zones.notePeerStatus(ordered(7));
+      zones.notePeerStatus(ordered(8, 'south'));
       zones.noteRead(new Set(['south']), 20);
       expect(zones.isEvacuated('north')).toBe(false);
       expect(zones.isEvacuated('south')).toBe(true);
     });
 
     it('remain if they are newer than a complete read without them', () => {
-      zones.noteTold(ordered(30));
+      zones.notePeerStatus(ordered(30));
       zones.noteRead(new Set(), 20);
       expect(zones.isEvacuated('north')).toBe(true);
     });
@@ -79,45 +79,45 @@
 
   describe('received from another entry', () => {
     it('end the last resort early, as the time of their writing is unknown', async () => {
-      zones.noteTold(ordered(7));
+      zones.notePeerStatus(ordered(7));
       expect(zones.isEvacuated('north')).toBe(true);
       await clock.advance(BOUND_MS / 2);
       expect(mayGetWork()).toBe(false);
     });
 
     it('are not revived after their end', () => {
-      zones.noteTold(ordered(7));
-      zones.noteTold(ended(9));
-      zones.noteTold(ordered(7));
+      zones.notePeerStatus(ordered(7));
+      zones.notePeerStatus(ended(9));
+      zones.notePeerStatus(ordered(7));
       expect(zones.isEvacuated('north')).toBe(false);
     });
 
     it('are ignored if the store was read at a later revision', () => {
       zones.noteRead(new Set(), 20);
-      zones.noteTold(ordered(7));
+      zones.notePeerStatus(ordered(7));
       expect(zones.isEvacuated('north')).toBe(false);
     });
 
     it('do not end a newer order from the store', () => {
       zones.noteOrdered('north', 7, clock.nowMs());
-      zones.noteTold(ended(5));
+      zones.notePeerStatus(ended(5));
       expect(zones.isEvacuated('north')).toBe(true);
     });
 
     it('do not extend the last resort of an order read from the store', async () => {
       zones.noteOrdered('north', 7, clock.nowMs());
       await clock.advance(BOUND_MS - 500);
-      zones.noteTold(ordered(7));
+      zones.notePeerStatus(ordered(7));
       expect(mayGetWork()).toBe(false);
     });
   });
 
   it('notify listeners once per change, so that forwarding between entries terminates', () => {
-    zones.noteTold(ordered(7));
-    zones.noteTold(ordered(7));
+    zones.notePeerStatus(ordered(7));
+    zones.notePeerStatus(ordered(7));
     zones.noteOrdered('north', 7, clock.nowMs());
     zones.noteEnded('north', 9);
-    zones.noteTold(ended(9));
+    zones.notePeerStatus(ended(9));
     expect(changes).toEqual([ordered(7), ended(9)]);
   });
 });
--- a/packages/relay/src/endpoints/endpoint.ts
+++ b/packages/relay/src/endpoints/endpoint.ts
@@ -36,7 +36,7 @@
   /** Store revision of its registration. */
   revision = 0;
   /** Memory of runs that this process is about to place at the endpoint. */
-  promisedTokens = 0;
+  incomingTokens = 0;
   load: Timestamped<EndpointLoad> | undefined;
   report: Timestamped<EngineLoad> | undefined;
   /** Expected time of its shutdown, if announced. */
@@ -70,7 +70,7 @@
     private readonly switches: Switches = ALL_ON,
     private readonly zones: ZoneAvailability = NO_EVACUATIONS,
     /** State that it announces in its answers. */
-    readonly terms = new AnnouncedState(),
+    readonly announced = new AnnouncedState(),
   ) {
     const {doubts} = switches;
     this.health = new PassiveHealth((doubt) => onDoubt(this, doubt), doubts);
@@ -87,7 +87,7 @@
 
   /** The first leave notice of each kind. The endpoint's own announcement is never reverted. */
   private get allLeaveNotices(): readonly LeaveNotice[] {
-    const {leavingSinceMs: atMs} = this.terms;
+    const {leavingSinceMs: atMs} = this.announced;
     if (atMs === undefined) return this.leaveNotices;
     return [...this.leaveNotices, {kind: 'told', atMs}];
   }
@@ -173,7 +173,7 @@
   /** Records that its own answer announced the leave; returns true for the first notice. */
   noteLeaveAnnounced(nowMs: number): boolean {
     const isFirst = !this.isLeaving;
-    this.terms.noteLeaving(nowMs);
+    this.announced.noteLeaving(nowMs);
     return isFirst;
   }
 
--- a/packages/relay/src/endpoints/endpointDirectory.ts
+++ b/packages/relay/src/endpoints/endpointDirectory.ts
@@ -95,7 +95,7 @@
    * Calls `listener` once when an endpoint of the service becomes a candidate. Returns a
    * function that removes the listener.
    */
-  onceSeen(service: string, listener: () => void): () => void {
+  onceAvailable(service: string, listener: () => void): () => void {
     const onSeen = (seen: string): void => {
       if (seen !== service) return;
       this.seenListeners.delete(onSeen);
@@ -130,7 +130,7 @@
   }
 
   /** Calls `listener` for each doubt that should be reported to other entries. */
-  onDoubtToTell(listener: DoubtListener): void {
+  onDoubtToReport(listener: DoubtListener): void {
     this.doubtListeners.push(listener);
   }
 
@@ -138,12 +138,12 @@
    * Records that the store is available again. Registrations may be missing for a while;
    * `settleMs` after the end of the outage, the usual bounds apply again.
    */
-  noteStoreReturned(recovery: StoreRecovery, settleMs: number): void {
+  noteStoreAvailable(recovery: StoreRecovery, settleMs: number): void {
     this.contact.noteAvailable(recovery, settleMs);
   }
 
   /** Records that the store has become unavailable. */
-  noteStoreLost(): void {
+  noteStoreUnavailable(): void {
     this.contact.noteUnavailable();
   }
 
@@ -340,7 +340,10 @@
    * false if the report is from another incarnation and must be ignored; a later one
    * ends the known endpoint.
    */
-  noteStart(endpoint: Endpoint, startedAtMs: number | undefined): boolean {
+  noteReportedStart(
+    endpoint: Endpoint,
+    startedAtMs: number | undefined,
+  ): boolean {
     const knownMs = endpoint.record.startedAtMs;
     if (startedAtMs === undefined || knownMs === undefined) return true;
     if (startedAtMs > knownMs) this.noteReplaced(endpoint);
--- a/packages/relay/src/endpoints/endpointStatements.ts
+++ b/packages/relay/src/endpoints/endpointStatements.ts
@@ -19,7 +19,7 @@
 ) => void;
 
 /** Applies the state that endpoints announce in their answers, per incarnation. */
-export class EndpointStatements {
+export class EndpointAnnouncements {
   private readonly limitListeners: LimitListener[] = [];
 
   constructor(
@@ -41,7 +41,7 @@
   ): void {
     const nowMs = this.clock.nowMs();
     const times = {sentMs, nowMs, isRejection: isNotRun};
-    const known = endpoint.terms.limit;
+    const known = endpoint.announced.limit;
     const change = known.noteResponse(limit, times);
     this.logLimit(endpoint, change);
     const {self} = this;
@@ -53,8 +53,8 @@
   }
 
   /** Applies a rate limit, or its end, received from another entry. */
-  noteLimitTold(endpoint: Endpoint, report: PeerLimitReport): void {
-    const change = endpoint.terms.limit.notePeerReport(
+  notePeerLimit(endpoint: Endpoint, report: PeerLimitReport): void {
+    const change = endpoint.announced.limit.notePeerReport(
       report,
       this.clock.nowMs(),
     );
@@ -64,7 +64,7 @@
   }
 
   /** Calls `listener` with each change of a rate limit that other entries need. */
-  onLimitToTell(listener: LimitListener): void {
+  onLimitToReport(listener: LimitListener): void {
     this.limitListeners.push(listener);
   }
 
@@ -72,8 +72,8 @@
   get limits(): Array<[Endpoint, PeerLimitReport]> {
     const nowMs = this.clock.nowMs();
     return [...this.endpoints.all()]
-      .filter(({terms: state}) => state.limit.perS !== undefined)
-      .map((endpoint) => [endpoint, endpoint.terms.limit.toReport(nowMs)]);
+      .filter(({announced: state}) => state.limit.perS !== undefined)
+      .map((endpoint) => [endpoint, endpoint.announced.limit.toReport(nowMs)]);
   }
 
   private logLimit(endpoint: Endpoint, change: LimitChange): void {
@@ -82,7 +82,7 @@
       endpoint: endpoint.id,
       service: endpoint.record.service,
       change,
-      perS: endpoint.terms.limit.perS,
+      perS: endpoint.announced.limit.perS,
       open: endpoint.outstanding,
     });
   }
@@ -92,7 +92,7 @@
   }
 
   private noteBackoff(endpoint: Endpoint, restMs: number): void {
-    endpoint.terms.rest.noteRequest(restMs, this.clock.nowMs());
+    endpoint.announced.backoff.noteRequest(restMs, this.clock.nowMs());
     this.log.info('endpoint.askedRest', {
       endpoint: endpoint.id,
       service: endpoint.record.service,
--- a/packages/relay/src/endpoints/endpointTerms.ts
+++ b/packages/relay/src/endpoints/endpointTerms.ts
@@ -5,7 +5,7 @@
   /** Rate limit for all entries together. */
   readonly limit = new AnnouncedLimit();
   /** Time for which this entry must send it nothing. */
-  readonly rest = new RequestedBackoff();
+  readonly backoff = new RequestedBackoff();
   /** False while the directory does not hold the endpoint. */
   isInUse = true;
   private leaving: number | undefined;
--- a/packages/relay/src/endpoints/engineUse.ts
+++ b/packages/relay/src/endpoints/engineUse.ts
@@ -99,7 +99,7 @@
   const unreported = own.filter((run) => run.startedMs > sinceMs);
   return {
     usedTokens:
-      memoryUsedTokens + endpoint.promisedTokens + sumOf(unreported, memoryOf),
+      memoryUsedTokens + endpoint.incomingTokens + sumOf(unreported, memoryOf),
     backlogTokens:
       promptBacklogTokens + sumOf(unreported.filter(isUnread), promptOf),
     reportAgeMs: ageMs,
--- a/packages/relay/src/endpoints/lives.ts
+++ b/packages/relay/src/endpoints/lives.ts
@@ -62,7 +62,7 @@
     });
   }
 
-  private scheduleStateRemoval({record, terms: state}: Endpoint): void {
+  private scheduleStateRemoval({record, announced: state}: Endpoint): void {
     const key = incarnationKey(record);
     state.isInUse = false;
     this.clock.after(FORMER_INCARNATION_TTL_MS, () => {
--- a/packages/relay/src/endpoints/sendLimits.ts
+++ b/packages/relay/src/endpoints/sendLimits.ts
@@ -67,38 +67,40 @@
 
   /** True if this entry may send to the endpoint now. */
   allows(endpoint: Endpoint): boolean {
-    return this.freeInMs(endpoint) <= 0;
+    return this.nextSendInMs(endpoint) <= 0;
   }
 
   /** Time until this entry may send to the endpoint; 0 if it may send now. */
-  freeInMs(endpoint: Endpoint): number {
+  nextSendInMs(endpoint: Endpoint): number {
     return Math.max(
-      endpoint.terms.rest.remainingMs(this.clock.nowMs()),
+      endpoint.announced.backoff.remainingMs(this.clock.nowMs()),
       this.coldWaitMs(endpoint),
       this.announcedWaitMs(endpoint),
     );
   }
 
   /** Counts a send, even if it exceeds the limits. */
-  take(endpoint: Endpoint): SendPermit {
+  acquire(endpoint: Endpoint): SendPermit {
     const atMs = this.clock.nowMs();
     const permit = new CountedSend(endpoint, atMs);
-    const sends = this.sends.get(endpoint.terms) ?? [];
-    this.sends.set(endpoint.terms, sends);
+    const sends = this.sends.get(endpoint.announced) ?? [];
+    this.sends.set(endpoint.announced, sends);
     sends.push(permit);
-    this.dropOld(endpoint.terms, sends);
+    this.dropOld(endpoint.announced, sends);
     return permit;
   }
 
   /** Counts a send that continues a run; undefined if the requested backoff forbids it. */
-  takeContinuation(endpoint: Endpoint): SendPermit | undefined {
-    const mayContinue = endpoint.terms.rest.tryContinue(this.clock.nowMs());
-    return mayContinue ? this.take(endpoint) : undefined;
+  acquireForContinuation(endpoint: Endpoint): SendPermit | undefined {
+    const mayContinue = endpoint.announced.backoff.tryContinue(
+      this.clock.nowMs(),
+    );
+    return mayContinue ? this.acquire(endpoint) : undefined;
   }
 
   /** Uncounts a send that is not made. */
-  withdraw(permit: SendPermit): void {
-    const sends = this.sends.get(permit.endpoint.terms) ?? [];
+  release(permit: SendPermit): void {
+    const sends = this.sends.get(permit.endpoint.announced) ?? [];
     const index = sends.lastIndexOf(permit);
     if (index >= 0) sends.splice(index, 1);
   }
@@ -119,7 +121,7 @@
   }
 
   private announcedWaitMs(endpoint: Endpoint): number {
-    const {limit} = endpoint.terms;
+    const {limit} = endpoint.announced;
     if (limit.perS === undefined) return 0;
     const {sendsInWindow, windowMs} = limit;
     const waitMs = this.waitWithin(endpoint, {
@@ -153,7 +155,7 @@
     while (sends[0] !== undefined && sends[0].atMs <= oldestMs) sends.shift();
   }
 
-  private sendsTo({terms: state}: Endpoint): readonly SendPermit[] {
+  private sendsTo({announced: state}: Endpoint): readonly SendPermit[] {
     return this.sends.get(state) ?? [];
   }
 
--- a/packages/relay/src/endpoints/viewGate.ts
+++ b/packages/relay/src/endpoints/viewGate.ts
@@ -34,7 +34,7 @@
    * Opens the gate if the store responded to a call sent after it closed. The response to an
    * earlier call may have been in the socket during the suspension.
    */
-  noteAnswered(sentMs: number): void {
+  noteStoreResponse(sentMs: number): void {
     if (this.isClosed && sentMs >= this.closedAtMs) this.open();
   }
 
@@ -47,7 +47,7 @@
   }
 
   /** Resolves once the gate is open. */
-  opened(): Promise<void> {
+  whenOpen(): Promise<void> {
     if (!this.isClosed) return Promise.resolve();
     return new Promise((resolve) => this.waiting.push(resolve));
   }
--- a/packages/relay/src/endpoints/zoneEvacuations.ts
+++ b/packages/relay/src/endpoints/zoneEvacuations.ts
@@ -126,7 +126,7 @@
   }
 
   /** Applies a status received from another entry. */
-  noteTold(status: ZoneStatus): void {
+  notePeerStatus(status: ZoneStatus): void {
     if (status.revision <= this.knownRevision) return;
     const atMs = this.clock.nowMs();
     this.applyStatus(status, EvacuationSource.PEER, {kind: 'told', atMs});
--- a/packages/relay/src/evacuation/evacuator.ts
+++ b/packages/relay/src/evacuation/evacuator.ts
@@ -46,7 +46,7 @@
   }
 
   /** Moves this entry's runs one by one while no sidecar grants the engine's link. */
-  async planAlone(endpoint: Endpoint): Promise<void> {
+  async moveRunsWithoutSidecar(endpoint: Endpoint): Promise<void> {
     const {context} = this;
     if (!context.switches.runMoves) return;
     if (context.runs.at(endpoint).length === 0) return;
--- a/packages/relay/src/evacuation/linkGrants.ts
+++ b/packages/relay/src/evacuation/linkGrants.ts
@@ -49,7 +49,7 @@
   constructor(private readonly sources: GrantSources) {}
 
   /** Called when the owner of the run has finished using the link. */
-  noteDone(requestId: string, isMoved: boolean): void {
+  finishGrant(requestId: string, isMoved: boolean): void {
     if (this.open?.requestId === requestId) this.open.finish(isMoved);
   }
 
--- a/packages/relay/src/evacuation/runMover.ts
+++ b/packages/relay/src/evacuation/runMover.ts
@@ -56,13 +56,13 @@
     const destination = chooseDestination(context, run, traits, excluded);
     if (destination === undefined) break;
     const {requestId, memoryTokens} = run;
-    destination.promisedTokens += memoryTokens;
+    destination.incomingTokens += memoryTokens;
     try {
       if (await destinations.reserve(destination, requestId, memoryTokens)) {
         return await copyAndHandOver(context, run, destination);
       }
     } finally {
-      destination.promisedTokens -= memoryTokens;
+      destination.incomingTokens -= memoryTokens;
       destinations.release(destination, requestId);
     }
     excluded.add(destination.id);
--- a/packages/relay/src/followStore.ts
+++ b/packages/relay/src/followStore.ts
@@ -16,7 +16,7 @@
 import type {MetadataStore, WireCodec} from './ports.js';
 import type {RelaySettings} from './settings.js';
 import type {RequestSuspicions} from './suspicions/requestSuspicions.js';
-import {suspicionSection} from './suspicions/storedSuspicions.js';
+import {storedSuspicionSection} from './suspicions/storedSuspicions.js';
 
 /** What a store sync reads with, and the state that it updates. */
 export interface StoreSyncOptions {
@@ -60,18 +60,18 @@
       createEndpointHandler(options),
       createMemberHandler(options),
       // The same watch brings suspicions and endpoints, so nothing is sent before both are known.
-      suspicionSection(codec.suspicionPrefix, suspicions, log),
+      storedSuspicionSection(codec.suspicionPrefix, suspicions, log),
     ],
     store,
     listener: {
       returned(seen) {
         // Must precede the deletions of registrations that expired during the outage.
-        endpoints.noteStoreReturned(seen, settings.settleMs);
+        endpoints.noteStoreAvailable(seen, settings.settleMs);
         configWatcher.release();
       },
       lost() {
         viewGate.open();
-        endpoints.noteStoreLost();
+        endpoints.noteStoreUnavailable();
         configWatcher.hold();
       },
     },
@@ -223,7 +223,7 @@
     prefix: codec.endpointPrefix,
     written: (item, clearMs) => registrations.written(item, clearMs),
     deleted: (key, clearMs) => registrations.deleted(key, clearMs),
-    caughtUp: (_revision, sentMs) => options.viewGate.noteAnswered(sentMs),
+    caughtUp: (_revision, sentMs) => options.viewGate.noteStoreResponse(sentMs),
   };
 }
 
--- a/packages/relay/src/model/callerRequest.ts
+++ b/packages/relay/src/model/callerRequest.ts
@@ -31,6 +31,6 @@
   readonly rawHeaders: RawHeaders;
   readonly apiKey?: string;
   /** How long the client waits for an answer; undefined if it did not announce it. */
-  readonly patienceMs?: number;
+  readonly maxWaitMs?: number;
   readonly size?: GenerationSize;
 }
--- a/packages/relay/src/model/servingConfig.ts
+++ b/packages/relay/src/model/servingConfig.ts
@@ -37,11 +37,11 @@
   /** True if a client may resume a stream after an event id that it sends. */
   readonly isResumable: boolean;
   /** Callers disconnect from a stream after this long without an event. */
-  readonly silenceLimitMs: number;
+  readonly streamIdleTimeoutMs: number;
   /** Longest pause between events that still meets the latency goal. */
   readonly pauseGoalMs?: number;
   /** Regions in which its requests may be served; undefined for all regions. */
-  readonly homes?: readonly string[];
+  readonly allowedRegions?: readonly string[];
 }
 
 /** Properties of the engines behind a model service. */
@@ -87,7 +87,7 @@
   readonly name: string;
   readonly apiKeys: readonly string[];
   /** Regions in which its requests may be served; undefined for all regions. */
-  readonly homes?: readonly string[];
+  readonly allowedRegions?: readonly string[];
   /** Ranks before the priority of the route; 0 is the most urgent. */
   readonly priority?: number;
 }
--- a/packages/relay/src/peers/entryPeers.ts
+++ b/packages/relay/src/peers/entryPeers.ts
@@ -379,7 +379,7 @@
     if (endpointAddress === undefined) return;
     const endpoint = endpoints.atAddress(endpointAddress);
     if (endpoint === undefined) return;
-    if (!endpoints.noteStart(endpoint, report.startedAtMs)) return;
+    if (!endpoints.noteReportedStart(endpoint, report.startedAtMs)) return;
     endpoint.noteReport(report, clock.nowMs());
     this.loadQueries.noteLoad(endpoint);
     this.context.admissionOf(endpoint.record.service).recheck();
--- a/packages/relay/src/peers/passedOnNews.ts
+++ b/packages/relay/src/peers/passedOnNews.ts
@@ -35,12 +35,12 @@
   config.onChange(() => {
     broadcast({type: 'configNotice', version: config.version});
   });
-  endpoints.onDoubtToTell(({id: endpointId, record}, forMs) => {
+  endpoints.onDoubtToReport(({id: endpointId, record}, forMs) => {
     if (!switches.toldDoubts) return;
     const {startedAtMs} = record;
     broadcast({type: 'endpointDoubted', endpointId, startedAtMs, forMs});
   });
-  statements.onLimitToTell((endpoint, limit) => {
+  statements.onLimitToReport((endpoint, limit) => {
     broadcast(limitNotice(endpoint, limit));
   });
   evacuations.onChange((status) => {
--- a/packages/relay/src/peers/receivedNews.ts
+++ b/packages/relay/src/peers/receivedNews.ts
@@ -39,13 +39,13 @@
       return;
     case 'zoneStatus': {
       const {zone, isEvacuated, revision} = update;
-      context.evacuations.noteTold({zone, isEvacuated, revision});
+      context.evacuations.notePeerStatus({zone, isEvacuated, revision});
       return;
     }
     case 'suspicion': {
       const {fingerprint, ends, cleared} = update;
       const suspicion = {fingerprint, ends, cleared};
-      context.suspicions.noteTold(suspicion, SuspicionSource.PEER);
+      context.suspicions.merge(suspicion, SuspicionSource.PEER);
       return;
     }
     case 'retryUse':
@@ -78,7 +78,7 @@
   if (endpoint === undefined) return;
   // MessagePack decodes undefined as null.
   const limit = {perS: perS ?? undefined, ageMs, version, origin};
-  statements.noteLimitTold(endpoint, limit);
+  statements.notePeerLimit(endpoint, limit);
 }
 
 /**
--- a/packages/relay/src/requests/awaitView.ts
+++ b/packages/relay/src/requests/awaitView.ts
@@ -69,7 +69,7 @@
   await waitForNotice(
     context,
     decision.forMs,
-    (done) => endpoints.onceSeen(service, done),
+    (done) => endpoints.onceAvailable(service, done),
     exchange.signal,
   );
   if (canServe(context, exchange)) return undefined;
--- a/packages/relay/src/requests/callSends.ts
+++ b/packages/relay/src/requests/callSends.ts
@@ -134,7 +134,7 @@
     this.count++;
     this.runs++;
     endpoint.outstanding++;
-    const permit = this.context.sendLimits.take(endpoint);
+    const permit = this.context.sendLimits.acquire(endpoint);
     try {
       const outcome = await this.sendAndReadAnswer(permit);
       if (outcome.kind === 'notRun') this.runs--;
@@ -213,7 +213,7 @@
   /** Answers of calls arrive in one piece, so it is unknown whether the endpoint had begun. */
   private noteBroken(endpoint: Endpoint, sentMs: number): Promise<void> {
     const {context, exchange} = this;
-    return context.suspicions.noteBroken(exchange, endpoint, {
+    return context.suspicions.noteBrokenSend(exchange, endpoint, {
       exposure: Exposure.RUNNING,
       sentMs,
     });
--- a/packages/relay/src/requests/callerExchange.ts
+++ b/packages/relay/src/requests/callerExchange.ts
@@ -44,7 +44,7 @@
     readonly clock: Clock,
   ) {
     const {request, route, arrivedMs} = allowed;
-    const maxWaitMs = request.patienceMs ?? Number.POSITIVE_INFINITY;
+    const maxWaitMs = request.maxWaitMs ?? Number.POSITIVE_INFINITY;
     this.deadlineMs = arrivedMs + Math.min(route.timeoutMs, maxWaitMs);
     response.on('close', this.handleClose);
     this.cancelTimer = clock.after(this.timeLeftMs, () => {
@@ -81,9 +81,12 @@
    * route give up earlier when nothing arrives.
    */
   get answerTimeLeftMs(): number {
-    const {requestClass, silenceLimitMs} = this.allowed.route;
+    const {requestClass, streamIdleTimeoutMs} = this.allowed.route;
     if (requestClass !== RequestClass.STREAMING) return this.timeLeftMs;
-    return Math.min(this.timeLeftMs, Math.max(0, silenceLimitMs - this.ageMs));
+    return Math.min(
+      this.timeLeftMs,
+      Math.max(0, streamIdleTimeoutMs - this.ageMs),
+    );
   }
 
   get ageMs(): number {
--- a/packages/relay/src/requests/endpointAttempt.ts
+++ b/packages/relay/src/requests/endpointAttempt.ts
@@ -45,12 +45,12 @@
 ): Promise<AttemptOutcome> {
   const {request, route, table, organisation} = exchange.allowed;
   if (!context.viewGate.isOpen) {
-    await context.viewGate.opened();
+    await context.viewGate.whenOpen();
     const {clock, settings} = context;
     if (!endpoint.mayGetWork(clock.nowMs(), settings.drainMs)) {
       return {kind: 'notRun', detail: 'the endpoint has left meanwhile'};
     }
-    if (endpoint.terms.rest.remainingMs(clock.nowMs()) > 0) {
+    if (endpoint.announced.backoff.remainingMs(clock.nowMs()) > 0) {
       return {kind: 'notRun', detail: 'the endpoint rests since'};
     }
   }
--- a/packages/relay/src/requests/generationAdmission.ts
+++ b/packages/relay/src/requests/generationAdmission.ts
@@ -274,7 +274,7 @@
     const prompt = {requestId: exchange.id, promptTokens};
     await context.queryLoads(toQuery, prompt);
     this.release(permit.endpoint);
-    context.sendLimits.withdraw(permit);
+    context.sendLimits.release(permit);
     const [best] = this.rankWithRoom((endpoint) => toQuery.includes(endpoint));
     const others = toQuery.filter((endpoint) => endpoint !== best?.endpoint);
     context.releaseLoads(others, prompt);
@@ -302,12 +302,12 @@
   private reserve(choice: EngineChoice): SendPermit {
     const {context, size} = this;
     this.reservedTokens = size.promptTokens;
-    choice.endpoint.promisedTokens += this.reservedTokens;
+    choice.endpoint.incomingTokens += this.reservedTokens;
     this.pendingPrefill = {
       tokens: choice.use.backlogTokens + size.promptTokens,
       sinceMs: context.clock.nowMs(),
     };
-    return context.sendLimits.take(choice.endpoint);
+    return context.sendLimits.acquire(choice.endpoint);
   }
 
   /** Cancels the reservation: nothing is sent to the engine. */
@@ -317,7 +317,7 @@
     const {promptTokens} = size;
     this.release(endpoint);
     this.pendingPrefill = undefined;
-    context.sendLimits.withdraw(permit);
+    context.sendLimits.release(permit);
     context.releaseLoads([endpoint], {requestId: exchange.id, promptTokens});
   }
 
@@ -332,7 +332,7 @@
 
   /** Releases the reserved memory once the run itself is counted, or is not sent. */
   release(endpoint: Endpoint): void {
-    endpoint.promisedTokens -= this.reservedTokens;
+    endpoint.incomingTokens -= this.reservedTokens;
     this.reservedTokens = 0;
   }
 }
--- a/packages/relay/src/requests/handoverPlace.ts
+++ b/packages/relay/src/requests/handoverPlace.ts
@@ -36,10 +36,10 @@
   const target = await findHandoverTarget(context, exchange, run);
   if (target === undefined) return undefined;
   const {endpoint, continueFrom} = target;
-  const permit = context.sendLimits.takeContinuation(endpoint);
+  const permit = context.sendLimits.acquireForContinuation(endpoint);
   if (permit === undefined) return undefined;
   if (takeContinuation(context, exchange)) return {permit, continueFrom};
-  context.sendLimits.withdraw(permit);
+  context.sendLimits.release(permit);
   return undefined;
 }
 
--- a/packages/relay/src/requests/permittedPlaces.ts
+++ b/packages/relay/src/requests/permittedPlaces.ts
@@ -11,7 +11,10 @@
   endpoint: Endpoint,
 ): boolean {
   const region = context.settings.regions.get(endpoint.record.zone);
-  return isAllowedRegion(region, [route.homes, organisation?.homes]);
+  return isAllowedRegion(region, [
+    route.allowedRegions,
+    organisation?.allowedRegions,
+  ]);
 }
 
 /** False when the route and the organisation allow no region of the deployment. */
@@ -19,7 +22,7 @@
   {settings}: Pick<RelayContext, 'settings'>,
   {route, organisation}: Pick<AllowedRequest, 'route' | 'organisation'>,
 ): boolean {
-  const allowedRegions = [route.homes, organisation?.homes];
+  const allowedRegions = [route.allowedRegions, organisation?.allowedRegions];
   const regions = [undefined, ...settings.regions.values()];
   return regions.some((region) => isAllowedRegion(region, allowedRegions));
 }
@@ -55,7 +58,7 @@
     }
     shortestWaitMs = Math.min(
       shortestWaitMs,
-      context.sendLimits.freeInMs(endpoint),
+      context.sendLimits.nextSendInMs(endpoint),
     );
   }
   if (shortestWaitMs <= 0 || !Number.isFinite(shortestWaitMs)) return undefined;
--- a/packages/relay/src/requests/relayContext.ts
+++ b/packages/relay/src/requests/relayContext.ts
@@ -8,7 +8,7 @@
 import type {EndpointDirectory} from '../endpoints/endpointDirectory.js';
 import type {SendLimits} from '../endpoints/sendLimits.js';
 import type {Endpoint} from '../endpoints/endpoint.js';
-import type {EndpointStatements} from '../endpoints/endpointStatements.js';
+import type {EndpointAnnouncements} from '../endpoints/endpointStatements.js';
 import type {EngineUseContext} from '../endpoints/engineUse.js';
 import type {ViewGate} from '../endpoints/viewGate.js';
 import type {ZoneEvacuations} from '../endpoints/zoneEvacuations.js';
@@ -35,7 +35,7 @@
   readonly metrics: RelayMetrics;
   readonly codec: WireCodec;
   readonly endpoints: EndpointDirectory;
-  readonly statements: EndpointStatements;
+  readonly statements: EndpointAnnouncements;
   readonly evacuations: ZoneEvacuations;
   /** Limits sends to endpoints that are warming up or that announce a rate limit. */
   readonly sendLimits: SendLimits;
--- a/packages/relay/src/requests/relayGeneration.ts
+++ b/packages/relay/src/requests/relayGeneration.ts
@@ -273,7 +273,7 @@
   private async noteBroken(run: ActiveRun, send: BrokenSend): Promise<void> {
     const {context, exchange} = this;
     if (run.eventsRelayed > 0 || exchange.signal.aborted) return;
-    await context.suspicions.noteBroken(exchange, run.endpoint, send);
+    await context.suspicions.noteBrokenSend(exchange, run.endpoint, send);
   }
 
   private assignRun(endpoint: Endpoint): ActiveRun {
--- a/packages/relay/src/sidecar/engineLife.ts
+++ b/packages/relay/src/sidecar/engineLife.ts
@@ -61,7 +61,7 @@
 
   /** Frees the engine's link after the owning entry has finished a granted move. */
   finishMove(requestId: string, isMoved: boolean): void {
-    this.grants.noteDone(requestId, isMoved);
+    this.grants.finishGrant(requestId, isMoved);
   }
 
   /** Stops granting moves, as the engine restarted or the sidecar stops. */
--- a/packages/relay/src/suspicions/__tests__/requestSuspicions.test.ts
+++ b/packages/relay/src/suspicions/__tests__/requestSuspicions.test.ts
@@ -11,7 +11,7 @@
 
 const HOST = '127.0.0.1';
 
-type EndedEndpoint = Parameters<RequestSuspicions['noteBroken']>[1];
+type EndedEndpoint = Parameters<RequestSuspicions['noteBrokenSend']>[1];
 
 const REQUEST = {id: 'a-1', fingerprint: 'f-1'};
 const SEND = {exposure: Exposure.RUNNING, sentMs: 0};
@@ -77,13 +77,21 @@
 
 describe('an entry whose connection to an endpoint breaks', () => {
   it('suspects the request if the endpoint is gone', async () => {
-    await suspicions.noteBroken(REQUEST, endpointAt(await closedPort()), SEND);
+    await suspicions.noteBrokenSend(
+      REQUEST,
+      endpointAt(await closedPort()),
+      SEND,
+    );
     expect(suspicions.isSuspected(REQUEST)).toBe(true);
     expect(sources).toEqual([SuspicionSource.OWN]);
   });
 
   it('suspects the request if another program has the address', async () => {
-    await suspicions.noteBroken(REQUEST, endpointAt(portOf(dropping)), SEND);
+    await suspicions.noteBrokenSend(
+      REQUEST,
+      endpointAt(portOf(dropping)),
+      SEND,
+    );
     expect(suspicions.isSuspected(REQUEST)).toBe(true);
   });
 
@@ -93,7 +101,7 @@
   ])(
     'does not suspect the request if the endpoint %s',
     async (_name, serverOf) => {
-      await suspicions.noteBroken(
+      await suspicions.noteBrokenSend(
         REQUEST,
         endpointAt(portOf(serverOf())),
         SEND,
@@ -113,7 +121,7 @@
       await clock.advance(2_000);
       const leaving = {isLeaving: true, ...changes};
       const endpoint = endpointAt(await closedPort(), leaving);
-      await suspicions.noteBroken(REQUEST, endpoint, SEND);
+      await suspicions.noteBrokenSend(REQUEST, endpoint, SEND);
       expect(suspicions.size).toBe(0);
     },
   );
@@ -122,7 +130,7 @@
     await clock.advance(2_000);
     const leaving = {isLeaving: true, removedAtMs: 1_999};
     const endpoint = endpointAt(await closedPort(), leaving);
-    await suspicions.noteBroken(REQUEST, endpoint, SEND);
+    await suspicions.noteBrokenSend(REQUEST, endpoint, SEND);
     expect(suspicions.isSuspected(REQUEST)).toBe(true);
   });
 
@@ -131,7 +139,7 @@
       await clock.advance(1_000);
       const sentMs = clock.nowMs();
       const endpoint = endpointAt(await closedPort(), {id});
-      await suspicions.noteBroken(REQUEST, endpoint, {...SEND, sentMs});
+      await suspicions.noteBrokenSend(REQUEST, endpoint, {...SEND, sentMs});
     }
     expect(suspicions.quarantineMs(REQUEST)).toBe(INITIAL_QUARANTINE_MS);
     expect(suspicions.quarantineMs({id: 'b', fingerprint: 'f-2'})).toBe(
@@ -140,20 +148,28 @@
   });
 
   it('clears a request that is answered, and notifies listeners', async () => {
-    await suspicions.noteBroken(REQUEST, endpointAt(await closedPort()), SEND);
+    await suspicions.noteBrokenSend(
+      REQUEST,
+      endpointAt(await closedPort()),
+      SEND,
+    );
     suspicions.noteServed(REQUEST);
     expect(suspicions.isSuspected(REQUEST)).toBe(false);
     expect(sources).toHaveLength(2);
   });
 
   it('notifies listeners only of suspicions that it did not know', async () => {
-    await suspicions.noteBroken(REQUEST, endpointAt(await closedPort()), SEND);
+    await suspicions.noteBrokenSend(
+      REQUEST,
+      endpointAt(await closedPort()),
+      SEND,
+    );
     const other = new RequestSuspicions(clock, silentLog, ENTRIES);
     const forwardedSources: string[] = [];
     other.onChange((_suspicion, source) => forwardedSources.push(source));
     const [known] = suspicions.all;
-    other.noteTold(known!, SuspicionSource.PEER);
-    other.noteTold(known!, SuspicionSource.STORE);
+    other.merge(known!, SuspicionSource.PEER);
+    other.merge(known!, SuspicionSource.STORE);
     expect(forwardedSources).toEqual([SuspicionSource.PEER]);
     expect(other.isSuspected(REQUEST)).toBe(true);
   });
@@ -173,7 +189,7 @@
         const {fingerprint} = REQUEST;
         const suspicion = {fingerprint, ends: [end], cleared: []};
         for (const one of entries) {
-          one.noteTold(suspicion, SuspicionSource.PEER);
+          one.merge(suspicion, SuspicionSource.PEER);
         }
       }
       await clock.advance(INITIAL_QUARANTINE_MS);
@@ -202,7 +218,7 @@
       const [trier] = allowed('a-1');
       trier!.onChange((suspicion) => {
         for (const one of entries) {
-          one.noteTold(suspicion, SuspicionSource.PEER);
+          one.merge(suspicion, SuspicionSource.PEER);
         }
       });
       trier!.noteServed(REQUEST);
--- a/packages/relay/src/suspicions/__tests__/storedSuspicions.test.ts
+++ b/packages/relay/src/suspicions/__tests__/storedSuspicions.test.ts
@@ -5,7 +5,7 @@
 import {silentLog} from '../../log/boundedLog.js';
 import type {LeasedWrite, MetadataStore, StoreItem} from '../../ports.js';
 import {RequestSuspicions, SuspicionSource} from '../requestSuspicions.js';
-import {keepSuspicions, suspicionSection} from '../storedSuspicions.js';
+import {storeQuarantines, storedSuspicionSection} from '../storedSuspicions.js';
 
 const PREFIX = 'serving/suspicions/';
 const FINGERPRINT = 'f-1';
@@ -36,7 +36,7 @@
   writes = [];
   endedLeases = [];
   isDown = false;
-  keepSuspicions({
+  storeQuarantines({
     store: store(),
     prefix: PREFIX,
     clock,
@@ -77,7 +77,7 @@
 
 describe('a quarantined request', () => {
   it('is stored for the longest quarantine by the entry that saw the crash', async () => {
-    suspicions.noteTold(QUARANTINED, SuspicionSource.OWN);
+    suspicions.merge(QUARANTINED, SuspicionSource.OWN);
     await settle();
     expect(writes).toHaveLength(1);
     expect(writes[0]).toMatchObject({
@@ -89,7 +89,7 @@
   it.each([SuspicionSource.PEER, SuspicionSource.STORE])(
     'is not stored by an entry that learned of it from another source (%s)',
     async (source) => {
-      suspicions.noteTold(QUARANTINED, source);
+      suspicions.merge(QUARANTINED, source);
       await settle();
       expect(writes).toHaveLength(0);
     },
@@ -97,7 +97,7 @@
 
   it('is stored once the store is available again', async () => {
     isDown = true;
-    suspicions.noteTold(QUARANTINED, SuspicionSource.OWN);
+    suspicions.merge(QUARANTINED, SuspicionSource.OWN);
     await settle(5_000);
     expect(writes).toHaveLength(0);
     isDown = false;
@@ -106,7 +106,7 @@
   });
 
   it('is removed from the store once it is served', async () => {
-    suspicions.noteTold(QUARANTINED, SuspicionSource.OWN);
+    suspicions.merge(QUARANTINED, SuspicionSource.OWN);
     await settle();
     suspicions.noteServed({id: 'a', fingerprint: FINGERPRINT});
     await settle();
@@ -114,10 +114,10 @@
   });
 
   it('is known to an entry that reads the store', async () => {
-    suspicions.noteTold(QUARANTINED, SuspicionSource.OWN);
+    suspicions.merge(QUARANTINED, SuspicionSource.OWN);
     await settle();
     const starting = new RequestSuspicions(clock, silentLog, ENTRIES);
-    const section = suspicionSection(PREFIX, starting, silentLog);
+    const section = storedSuspicionSection(PREFIX, starting, silentLog);
     section.written(item(writes[0]!.value.toString()), clock.nowMs());
     expect(starting.isQuarantined(FINGERPRINT)).toBe(true);
   });
@@ -127,7 +127,7 @@
   it('causes no call to the store', async () => {
     const [first] = QUARANTINED.ends;
     const once = {...QUARANTINED, ends: [first!]};
-    suspicions.noteTold(once, SuspicionSource.OWN);
+    suspicions.merge(once, SuspicionSource.OWN);
     await settle();
     expect(writes).toHaveLength(0);
   });
@@ -148,7 +148,7 @@
   ])('is logged and otherwise ignored (%s)', (value) => {
     const lines: string[] = [];
     const log = {...silentLog, warn: (event: string) => lines.push(event)};
-    const section = suspicionSection(PREFIX, suspicions, log);
+    const section = storedSuspicionSection(PREFIX, suspicions, log);
     section.written(item(value), 0);
     section.deleted(`${PREFIX}${FINGERPRINT}`, 0, 8);
     expect(suspicions.size).toBe(0);
--- a/packages/relay/src/suspicions/requestSuspicions.ts
+++ b/packages/relay/src/suspicions/requestSuspicions.ts
@@ -130,7 +130,7 @@
   }
 
   /** Records a crash if the endpoint is gone after the connection of a send broke. */
-  async noteBroken(
+  async noteBrokenSend(
     exchange: RequestIdentity,
     endpoint: EndedEndpoint,
     {exposure, sentMs}: BrokenSend,
@@ -161,7 +161,7 @@
   }
 
   /** Merges a suspicion received from a peer or read from the store. */
-  noteTold(suspicion: Suspicion, source: SuspicionSource): void {
+  merge(suspicion: Suspicion, source: SuspicionSource): void {
     if (this.known.merge(suspicion)) {
       this.changed(suspicion.fingerprint, source);
     }
--- a/packages/relay/src/suspicions/storedSuspicions.ts
+++ b/packages/relay/src/suspicions/storedSuspicions.ts
@@ -32,7 +32,7 @@
  * restart of all entries, which have no disk. The key has a lease as long as the longest
  * quarantine. Only the entry that saw the crash which led to the quarantine writes it.
  */
-export function keepSuspicions(sources: StoredSuspicionSources): void {
+export function storeQuarantines(sources: StoredSuspicionSources): void {
   const {suspicions} = sources;
   const leases = new Map<string, Promise<number | undefined>>();
   suspicions.onChange((suspicion, source) => {
@@ -55,7 +55,7 @@
  * Merges suspicions that entries have stored. A deleted key is ignored: the stored ages
  * determine when a quarantine ends.
  */
-export function suspicionSection(
+export function storedSuspicionSection(
   prefix: string,
   suspicions: RequestSuspicions,
   log: DecisionLogger,
@@ -68,7 +68,7 @@
         log.warn('suspicion.refused', {key, revision});
         return;
       }
-      suspicions.noteTold(suspicion, SuspicionSource.STORE);
+      suspicions.merge(suspicion, SuspicionSource.STORE);
     },
     deleted: () => {},
   };
