--- a/packages/relay/src/__tests__/entryView.ts
+++ b/packages/relay/src/__tests__/entryView.ts
@@ -1,6 +1,6 @@
 import {createRandom, VirtualClock} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
-import type {ConfigKeeper} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/configKeeper.js';
 import type {RouteTable} from '../config/routeTable.js';
 import {chooseForCall} from '../endpoints/chooseEndpoint.js';
 import {EndpointDirectory} from '../endpoints/endpointDirectory.js';
@@ -107,7 +107,7 @@
           this.configVersion = Number(bytes.toString());
           return true;
         },
-      } as Partial<ConfigKeeper> as ConfigKeeper,
+      } as Partial<ActiveConfig> as ActiveConfig,
       endpoints: this.endpoints,
       suspicions: new RequestSuspicions(this.entryClock, silentLog, {
         self: 'entry-1',
--- a/packages/relay/src/config/__tests__/configFollower.test.ts
+++ b/packages/relay/src/config/__tests__/configFollower.test.ts
@@ -7,7 +7,7 @@
   StoreItem,
   StoreReply,
 } from '../../ports.js';
-import {ConfigFollower} from '../configFollower.js';
+import {ConfigWatcher} from '../configFollower.js';
 
 const KEY = 'settings/all';
 const WAIT_MS = 1_800;
@@ -21,7 +21,7 @@
 let newest: StoreItem;
 /** Replies to the next watches; once empty, a watch waits until it is aborted. */
 let watches: Array<StoreReply<StoreChanges>>;
-let watcher: ConfigFollower;
+let watcher: ConfigWatcher;
 
 beforeEach(() => {
   clock = new VirtualClock();
@@ -31,7 +31,7 @@
   failureCount = 0;
   newest = item(1);
   watches = [];
-  watcher = new ConfigFollower({
+  watcher = new ConfigWatcher({
     key: KEY,
     store: scriptedStore(),
     clock,
@@ -138,25 +138,25 @@
   it('restarts the watch when a peer had a version that it did not return', async () => {
     await clock.advance(100);
     watches = [changed(2, item(2))];
-    watcher.noteOvertaken();
+    watcher.noteNewerAtPeer();
     await clock.advance(1_000);
     expect(calls).toEqual(['list', 'watch 1', 'watch 1', 'watch 2']);
     expect(failureCount).toBe(0);
   });
 
   it('does not abort a call that ends soon after the peer’s message', async () => {
-    watcher.noteOvertaken();
+    watcher.noteNewerAtPeer();
     await clock.advance(2_000);
     expect(calls).toEqual(['list', 'watch 1']);
   });
 
   it('makes no call while it is paused, and continues after that', async () => {
     await clock.advance(100);
-    watcher.hold();
+    watcher.pause();
     await clock.advance(10_000);
     expect(calls).toEqual(['list', 'watch 1']);
     watches = [changed(2, item(2))];
-    watcher.release();
+    watcher.resume();
     await clock.advance(100);
     expect(delivered).toEqual([1, 2]);
     expect(failureCount).toBe(0);
--- a/packages/relay/src/config/__tests__/storeMirror.test.ts
+++ b/packages/relay/src/config/__tests__/storeMirror.test.ts
@@ -8,8 +8,8 @@
   StorePage,
   StoreReply,
 } from '../../ports.js';
-import {StoreMirror} from '../storeMirror.js';
-import type {MirrorSection} from '../storeMirror.js';
+import {StoreWatcher} from '../storeMirror.js';
+import type {PrefixHandler} from '../storeMirror.js';
 
 /** Time after which the client gives up an unanswered call. */
 const READ_TIMEOUT_MS = 1_500;
@@ -50,19 +50,19 @@
 describe('a watcher that starts while the store is unresponsive', () => {
   it('is in sync soon after the store recovers, without waiting for a timeout', async () => {
     let isSynced = false;
-    const watcher = new StoreMirror({
-      sections: [{prefix: 'servers/', written: () => {}, deleted: () => {}}],
+    const watcher = new StoreWatcher({
+      handlers: [{prefix: 'servers/', written: () => {}, deleted: () => {}}],
       store: unresponsiveUntil(230),
       listener: {
-        returned: () => {
+        becameAvailable: () => {
           isSynced = true;
         },
-        lost: () => {},
+        becameUnavailable: () => {},
       },
       clock,
       random: () => 0.5,
       log: silentLog,
-      pace: {waitMs: 25_000, gatherMs: 600},
+      timing: {waitMs: 25_000, batchDelayMs: 600},
     });
     const stopped = new AbortController();
     void watcher.run(stopped.signal);
@@ -90,7 +90,7 @@
 
   afterEach(() => stopped.abort());
 
-  function handler(prefix: string): MirrorSection {
+  function handler(prefix: string): PrefixHandler {
     return {
       prefix,
       written: ({key}) => events.push(`${prefix} has ${key}`),
@@ -142,18 +142,18 @@
     } as Partial<MetadataStore> as MetadataStore;
   }
 
-  function start(...prefixes: string[]): StoreMirror {
-    const watcher = new StoreMirror({
-      sections: prefixes.map(handler),
+  function start(...prefixes: string[]): StoreWatcher {
+    const watcher = new StoreWatcher({
+      handlers: prefixes.map(handler),
       store: scriptedStore(),
       listener: {
-        returned: () => events.push('returned'),
-        lost: () => events.push('lost'),
+        becameAvailable: () => events.push('returned'),
+        becameUnavailable: () => events.push('lost'),
       },
       clock,
       random: () => 0.5,
       log: silentLog,
-      pace: {waitMs: 2_000, gatherMs: BATCH_DELAY_MS},
+      timing: {waitMs: 2_000, batchDelayMs: BATCH_DELAY_MS},
     });
     void watcher.run(stopped.signal);
     return watcher;
--- a/packages/relay/src/config/configFollower.ts
+++ b/packages/relay/src/config/configFollower.ts
@@ -2,7 +2,7 @@
 import type {BulkAnswer, NextRead} from '@lilacledge/policy';
 import {assertNever, backoffMs, sleep} from '@lilacledge/shared';
 import type {Clock, Random} from '@lilacledge/shared';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {
   MetadataStore,
   StoreChange,
@@ -10,8 +10,12 @@
   StoreItem,
 } from '../ports.js';
 import {Gate} from './gate.js';
-import type {MirrorSection} from './storeMirror.js';
-import {describeFailure, listAllPages, logSlowResponse} from './storeReads.js';
+import type {PrefixHandler} from './storeMirror.js';
+import {
+  describeStoreFailure,
+  listAllPages,
+  logSlowResponse,
+} from './storeReads.js';
 
 /** Backoff after a failed call. Short, since deadlines run from the store's recovery. */
 const RETRY_BACKOFF = {firstMs: 60, maxMs: 800};
@@ -19,12 +23,12 @@
 /** Time by which a large version has arrived completely over half of a 10 Mbit/s link. */
 const STALLED_CALL_TIMEOUT_MS = 700;
 
-export interface ConfigFollowing {
+export interface ConfigWatcherOptions {
   readonly key: string;
   readonly store: MetadataStore;
   readonly clock: Clock;
   readonly random: Random;
-  readonly log: DecisionLogger;
+  readonly log: Logger;
   /** How long one watch waits; a dead connection is detected soon after. */
   waitMs(): number;
   /** Maximum time until a new version must be active. */
@@ -38,9 +42,9 @@
    * Another prefix that is watched with the same calls. Only its keys and that of the
    * configuration start with `commonPrefix`.
    */
-  readonly beside?: {
+  readonly sharedWatch?: {
     readonly commonPrefix: string;
-    readonly section: MirrorSection;
+    readonly handler: PrefixHandler;
   };
 }
 
@@ -55,7 +59,7 @@
  * registrations arrived seconds late on a slow link. The prefix of `sharedWatch` may be as
  * late as a configuration, and sharing saves a watch: 0.42 calls per second and entry.
  */
-export class ConfigFollower {
+export class ConfigWatcher {
   /** Revision after which the next watch starts. */
   private revision = 0;
   /** Revision of the version that was delivered last. */
@@ -66,16 +70,16 @@
   private asOfMs = Number.NEGATIVE_INFINITY;
   private readonly prefix: string;
 
-  constructor(private readonly options: ConfigFollowing) {
-    this.prefix = options.beside?.commonPrefix ?? options.key;
+  constructor(private readonly options: ConfigWatcherOptions) {
+    this.prefix = options.sharedWatch?.commonPrefix ?? options.key;
   }
 
   /** Aborts the call in flight and makes none until `resume`: the store is unavailable. */
-  hold(): void {
+  pause(): void {
     this.gate.close();
   }
 
-  release(): void {
+  resume(): void {
     this.gate.open();
   }
 
@@ -83,7 +87,7 @@
    * A peer had a version that the call in flight has not returned. Unless the call ends
    * soon, its connection is considered dead and it is made again.
    */
-  noteOvertaken(): void {
+  noteNewerAtPeer(): void {
     const {callCount} = this;
     this.options.clock.after(STALLED_CALL_TIMEOUT_MS, () => {
       if (this.callCount !== callCount || this.gate.isClosed) return;
@@ -134,7 +138,7 @@
   ): NextRead {
     const {log, failed, waitMs} = this.options;
     log.info('config.unread', {
-      cause: describeFailure(failure),
+      cause: describeStoreFailure(failure),
       tookMs: Math.round(tookMs),
     });
     if (failure.kind !== 'compacted') failed();
@@ -193,7 +197,7 @@
     revision: number,
     sentMs: number,
   ): void {
-    const handler = this.options.beside?.section;
+    const handler = this.options.sharedWatch?.handler;
     if (handler === undefined) return;
     for (const change of changes) {
       if (!keyOf(change).startsWith(handler.prefix)) continue;
@@ -207,7 +211,7 @@
     items: readonly StoreItem[],
     revision: number,
   ): void {
-    const handler = this.options.beside?.section;
+    const handler = this.options.sharedWatch?.handler;
     if (handler === undefined) return;
     const below = items.filter(({key}) => key.startsWith(handler.prefix));
     for (const item of below) handler.written(item, this.asOfMs);
--- a/packages/relay/src/config/configKeeper.ts
+++ b/packages/relay/src/config/configKeeper.ts
@@ -1,5 +1,5 @@
 import type {Clock} from '@lilacledge/shared';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {WireCodec} from '../ports.js';
 import {RouteTable} from './routeTable.js';
 
@@ -11,7 +11,7 @@
 export type ConfigSource = (typeof ConfigSource)[keyof typeof ConfigSource];
 
 /** Holds the active configuration, whose version only increases within one process. */
-export class ConfigKeeper {
+export class ActiveConfig {
   private activeTable: RouteTable | undefined;
   /** The active version in the store's encoding. */
   private bytes: Buffer | undefined;
@@ -22,7 +22,7 @@
   constructor(
     private readonly codec: WireCodec,
     private readonly clock: Clock,
-    private readonly log: DecisionLogger,
+    private readonly log: Logger,
   ) {}
 
   /** Lookups in the active version; undefined until one is known. */
@@ -47,7 +47,7 @@
    * Calls `listener` once, when the next version becomes active. Returns a function that
    * removes the listener.
    */
-  onceKnown(listener: () => void): () => void {
+  onNextChange(listener: () => void): () => void {
     const runOnce = (): void => {
       this.waiting.delete(runOnce);
       listener();
--- a/packages/relay/src/config/countedStore.ts
+++ b/packages/relay/src/config/countedStore.ts
@@ -6,7 +6,7 @@
  * Wraps a store to record metrics: the calls by kind of reply, and the size and transfer
  * time of reads.
  */
-export function countCalls(
+export function instrumentStore(
   store: MetadataStore,
   metrics: RelayMetrics,
 ): MetadataStore {
--- a/packages/relay/src/config/routeTable.ts
+++ b/packages/relay/src/config/routeTable.ts
@@ -37,7 +37,7 @@
   }
 
   /** True when requests must carry an API key, except on anonymous routes. */
-  get hasKeys(): boolean {
+  get requiresApiKeys(): boolean {
     return this.config.organisations !== undefined;
   }
 
--- a/packages/relay/src/config/storeMirror.ts
+++ b/packages/relay/src/config/storeMirror.ts
@@ -1,7 +1,7 @@
 import type {StoreRecovery} from '@lilacledge/policy';
 import {assertNever, backoffMs, sleep} from '@lilacledge/shared';
 import type {Clock, Random} from '@lilacledge/shared';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {
   MetadataStore,
   StoreChange,
@@ -10,7 +10,11 @@
   StoreItem,
   StoreReply,
 } from '../ports.js';
-import {describeFailure, listAllPages, logSlowResponse} from './storeReads.js';
+import {
+  describeStoreFailure,
+  listAllPages,
+  logSlowResponse,
+} from './storeReads.js';
 
 /**
  * How long a watch waits while the store is unavailable or probed. As short as possible:
@@ -26,7 +30,7 @@
  * which the store is known not to have had the change yet: a change may take long to
  * arrive.
  */
-export interface MirrorSection {
+export interface PrefixHandler {
   readonly prefix: string;
   written(item: StoreItem, unchangedAtMs: number): void;
   deleted(key: string, unchangedAtMs: number, revision: number): void;
@@ -39,34 +43,34 @@
 /** Handles changes of the store's availability to this process. */
 export interface StoreAvailabilityListener {
   /** The store answers again. Called before the changes made meanwhile are delivered. */
-  returned(recovery: StoreRecovery): void;
+  becameAvailable(recovery: StoreRecovery): void;
   /** A call to the store failed. */
-  lost(): void;
+  becameUnavailable(): void;
 }
 
 /** Timing of a watcher's calls. */
-export interface MirrorPace {
+export interface WatchTiming {
   /** How long one watch waits; a dead connection is detected soon after this time. */
   readonly waitMs: number;
   /** Pause after changes, so that the next watch returns further changes in one batch. */
-  readonly gatherMs: number;
+  readonly batchDelayMs: number;
 }
 
 export interface StoreWatcherOptions {
-  readonly sections: readonly MirrorSection[];
+  readonly handlers: readonly PrefixHandler[];
   readonly store: MetadataStore;
   readonly listener: StoreAvailabilityListener;
   readonly clock: Clock;
   readonly random: Random;
-  readonly log: DecisionLogger;
-  readonly pace: MirrorPace;
+  readonly log: Logger;
+  readonly timing: WatchTiming;
 }
 
 /**
  * Watches the items below several prefixes of the store with one long poll: each
  * response costs money and counts against the rate limit that all processes share.
  */
-export class StoreMirror {
+export class StoreWatcher {
   /** Revisions of the known items, by key. */
   private readonly revisions = new Map<string, number>();
   /** Common prefix of all handlers; other keys may share it. */
@@ -86,7 +90,7 @@
   private isProbing = false;
 
   constructor(private readonly options: StoreWatcherOptions) {
-    const prefixes = options.sections.map(({prefix}) => prefix);
+    const prefixes = options.handlers.map(({prefix}) => prefix);
     this.watchedPrefix = prefixes.reduce(commonPrefix);
   }
 
@@ -130,12 +134,12 @@
     const isUnavailable = this.unavailableSinceMs !== undefined;
     return isUnavailable || this.isProbing
       ? PROBE_WAIT_MS
-      : this.options.pace.waitMs;
+      : this.options.timing.waitMs;
   }
 
   /** Reads all items; known items that are missing count as deleted. */
   private async list(): Promise<WatcherStep> {
-    const {sections: handlers, store, clock, log} = this.options;
+    const {handlers: handlers, store, clock, log} = this.options;
     const sentMs = clock.nowMs();
     const listings = await Promise.all(
       handlers.map(({prefix}) => listAllPages(store, clock, log, prefix)),
@@ -166,7 +170,7 @@
     revision: number,
     signal: AbortSignal,
   ): Promise<WatcherStep> {
-    const {clock, pace: timing, log, sections: handlers} = this.options;
+    const {clock, timing: timing, log, handlers: handlers} = this.options;
     const sentMs = clock.nowMs();
     const waitMs = this.watchWaitMs;
     const aborter = new AbortController();
@@ -189,7 +193,7 @@
     this.asOfMs = sentMs + (hasWaited ? waitMs : 0);
     if (changes.length > 0) {
       // Changes that are made meanwhile arrive in one response.
-      await sleep(clock, timing.gatherMs, signal);
+      await sleep(clock, timing.batchDelayMs, signal);
     }
     return {kind: 'synced', revision: Math.max(revision, reply.value.revision)};
   }
@@ -242,8 +246,8 @@
     this.handlerOf(key)?.deleted(key, this.asOfMs, revision);
   }
 
-  private handlerOf(key: string): MirrorSection | undefined {
-    return this.options.sections.find(({prefix}) => key.startsWith(prefix));
+  private handlerOf(key: string): PrefixHandler | undefined {
+    return this.options.handlers.find(({prefix}) => key.startsWith(prefix));
   }
 
   /**
@@ -258,8 +262,8 @@
       return;
     }
     this.unavailableSinceMs = clock.nowMs();
-    log.warn('store.lost', {cause: describeFailure(failure)});
-    listener.lost();
+    log.warn('store.lost', {cause: describeStoreFailure(failure)});
+    listener.becameUnavailable();
   }
 
   /** Records a successful response. */
@@ -274,7 +278,7 @@
       lostForMs: Math.round(nowMs - unavailableSinceMs),
       failedAgoMs: lastFailedMs && Math.round(nowMs - lastFailedMs),
     });
-    listener.returned({atMs: nowMs, lastFailedMs});
+    listener.becameAvailable({atMs: nowMs, lastFailedMs});
   }
 }
 
--- a/packages/relay/src/config/storeReads.ts
+++ b/packages/relay/src/config/storeReads.ts
@@ -2,7 +2,7 @@
 import {assertNever} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
 import type {BodyTransfer} from '../http/callHttp.js';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {
   MetadataStore,
   StoreFailure,
@@ -48,7 +48,7 @@
 export async function listAllPages(
   store: MetadataStore,
   clock: Clock,
-  log: DecisionLogger,
+  log: Logger,
   prefix: string,
 ): Promise<StoreReply<StoreListing>> {
   const items: StoreItem[] = [];
@@ -72,7 +72,7 @@
 
 /** Logs a response whose body was slow to arrive. */
 export function logSlowResponse(
-  log: DecisionLogger,
+  log: Logger,
   call: 'watch' | 'list',
   items: number,
   {bytes, tookMs}: BodyTransfer,
@@ -87,7 +87,7 @@
 }
 
 /** Describes a failed call for a log line. */
-export function describeFailure(failure: StoreFailure): string {
+export function describeStoreFailure(failure: StoreFailure): string {
   switch (failure.kind) {
     case 'refused':
       return `refused with status ${failure.status}`;
--- a/packages/relay/src/createRelayEntry.ts
+++ b/packages/relay/src/createRelayEntry.ts
@@ -9,8 +9,8 @@
 import type {RetryAllowance} from '@lilacledge/policy';
 import {sleep} from '@lilacledge/shared';
 import type {Clock, ClockGap, Random} from '@lilacledge/shared';
-import {ConfigKeeper} from './config/configKeeper.js';
-import {countCalls} from './config/countedStore.js';
+import {ActiveConfig} from './config/configKeeper.js';
+import {instrumentStore} from './config/countedStore.js';
 import {SendLimits} from './endpoints/sendLimits.js';
 import {EndpointDirectory} from './endpoints/endpointDirectory.js';
 import {EndpointAnnouncements} from './endpoints/endpointStatements.js';
@@ -20,7 +20,7 @@
 import {Evacuator} from './evacuation/evacuator.js';
 import {createCallerServer} from './http/callerServer.js';
 import {startMetricsServer} from './http/metricsServer.js';
-import type {DecisionLogger} from './log/boundedLog.js';
+import type {Logger} from './log/boundedLog.js';
 import type {EndpointAddress} from './model/index.js';
 import {EntryPeers} from './peers/entryPeers.js';
 import {keepRegistered} from './peers/membership.js';
@@ -59,7 +59,7 @@
 export interface RelayPorts {
   readonly clock: Clock;
   readonly random: Random;
-  readonly log: DecisionLogger;
+  readonly log: Logger;
   readonly store: MetadataStore;
   readonly codec: WireCodec;
   readonly switches: Switches;
@@ -89,8 +89,8 @@
     endsAtMs: Number.POSITIVE_INFINITY,
   };
   const metrics = createRelayMetrics();
-  const store = countCalls(ports.store, metrics);
-  const config = new ConfigKeeper(codec, clock, log);
+  const store = instrumentStore(ports.store, metrics);
+  const config = new ActiveConfig(codec, clock, log);
   const evacuations = new ZoneEvacuations(
     clock,
     log,
@@ -153,7 +153,7 @@
     promptSizesOf: (service) => promptSizes.of(service),
     admissionOf: (service) => admissions.of(service),
     entryCount: () => peers.entryCount,
-    queryLoads: (queried, prompt) => peers.askLoads(queried, prompt),
+    queryLoads: (queried, prompt) => peers.queryLoads(queried, prompt),
     releaseLoads: (queried, prompt) => peers.releaseLoads(queried, prompt),
     zoneLoads: new ZoneLoads(),
   };
@@ -163,8 +163,8 @@
     (endpoint) => peers.hasSidecar(endpoint),
     {
       reserve: (endpoint, id, tokens) =>
-        peers.copies.reserve(endpoint, id, tokens),
-      release: (endpoint, id) => peers.copies.release(endpoint, id),
+        peers.copyReservations.reserve(endpoint, id, tokens),
+      release: (endpoint, id) => peers.copyReservations.release(endpoint, id),
     },
   );
   const linkAddress = settings.control ?? {
@@ -335,7 +335,7 @@
 function listen(
   server: Server,
   address: EndpointAddress | undefined,
-  log: DecisionLogger,
+  log: Logger,
 ): void {
   if (address === undefined) return;
   const {host, port} = address;
--- a/packages/relay/src/createRelaySidecar.ts
+++ b/packages/relay/src/createRelaySidecar.ts
@@ -3,11 +3,11 @@
 import type {Clock, Random} from '@lilacledge/shared';
 import {callHttp} from './http/callHttp.js';
 import {startMetricsServer} from './http/metricsServer.js';
-import type {DecisionLogger} from './log/boundedLog.js';
+import type {Logger} from './log/boundedLog.js';
 import {formatAddress} from './model/index.js';
 import type {EndpointAddress, EngineReport} from './model/index.js';
-import {entriesOfSidecar} from './peers/linkPlan.js';
-import {toMember} from './peers/membership.js';
+import {entriesForSidecar} from './peers/linkPlan.js';
+import {parseMember} from './peers/membership.js';
 import {PeerMesh} from './peers/peerMesh.js';
 import type {Peer} from './peers/peerMesh.js';
 import {PeerRole} from './peers/peerMessages.js';
@@ -35,7 +35,7 @@
 export interface SidecarPorts {
   readonly clock: Clock;
   readonly random: Random;
-  readonly log: DecisionLogger;
+  readonly log: Logger;
   readonly store: MetadataStore;
   readonly codec: WireCodec;
   readonly switches: Switches;
@@ -229,9 +229,9 @@
       const reply = await store.list(codec.memberPrefix);
       if (reply.kind !== 'ok') continue;
       const members = reply.value.items
-        .map((item) => toMember(item, codec.memberPrefix))
+        .map((item) => parseMember(item, codec.memberPrefix))
         .filter((member) => member !== undefined);
-      for (const {address} of entriesOfSidecar(settings.zone, members)) {
+      for (const {address} of entriesForSidecar(settings.zone, members)) {
         entryLinks.dial(address);
       }
     }
--- a/packages/relay/src/endpoints/endpointDirectory.ts
+++ b/packages/relay/src/endpoints/endpointDirectory.ts
@@ -2,7 +2,7 @@
 import type {Doubt, StoreRecovery} from '@lilacledge/policy';
 import {assertNever} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import {formatAddress} from '../model/index.js';
 import type {EndpointRecord} from '../model/index.js';
 import {ALL_ON} from '../switches.js';
@@ -53,7 +53,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly log: DecisionLogger,
+    private readonly log: Logger,
     private readonly switches: Switches = ALL_ON,
     private readonly zones: ZoneAvailability = NO_EVACUATIONS,
   ) {
--- a/packages/relay/src/endpoints/endpointStatements.ts
+++ b/packages/relay/src/endpoints/endpointStatements.ts
@@ -1,7 +1,7 @@
 import {LimitChange} from '@lilacledge/policy';
 import type {PeerLimitReport} from '@lilacledge/policy';
 import type {Clock} from '@lilacledge/shared';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {AnswerHead} from '../ports.js';
 import type {Endpoint} from './endpoint.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
@@ -24,7 +24,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly log: DecisionLogger,
+    private readonly log: Logger,
     private readonly endpoints: Pick<
       EndpointDirectory,
       'all' | 'noteLeaveAnnounced'
--- a/packages/relay/src/endpoints/registrations.ts
+++ b/packages/relay/src/endpoints/registrations.ts
@@ -1,5 +1,5 @@
-import type {ConfigKeeper} from '../config/configKeeper.js';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {ActiveConfig} from '../config/configKeeper.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {EndpointRecord} from '../model/index.js';
 import type {StoreItem, WireCodec} from '../ports.js';
 import type {EndpointDirectory} from './endpointDirectory.js';
@@ -22,9 +22,9 @@
 
   constructor(
     private readonly endpoints: EndpointDirectory,
-    private readonly config: Pick<ConfigKeeper, 'current' | 'onChange'>,
+    private readonly config: Pick<ActiveConfig, 'current' | 'onChange'>,
     private readonly codec: WireCodec,
-    private readonly log: DecisionLogger,
+    private readonly log: Logger,
   ) {
     config.onChange(() => this.applyPending());
   }
--- a/packages/relay/src/endpoints/zoneEvacuations.ts
+++ b/packages/relay/src/endpoints/zoneEvacuations.ts
@@ -1,7 +1,7 @@
 import {lastResortUntilMs} from '@lilacledge/policy';
 import type {LeaveNotice} from '@lilacledge/policy';
 import type {Clock} from '@lilacledge/shared';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 
 /** Evacuation status of an availability zone as of a store revision. */
 export interface ZoneStatus {
@@ -61,7 +61,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly log: DecisionLogger,
+    private readonly log: Logger,
     /** Longest time for which work may be sent to an evacuated zone. */
     private readonly boundMs: () => number,
   ) {}
--- a/packages/relay/src/evacuation/linkGrants.ts
+++ b/packages/relay/src/evacuation/linkGrants.ts
@@ -2,7 +2,7 @@
 import type {EnginePace, RunOutlook} from '@lilacledge/policy';
 import {sleep} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {EngineReport} from '../model/index.js';
 import type {Peer} from '../peers/peerMesh.js';
 import type {SidecarMetrics} from '../sidecarMetrics.js';
@@ -28,7 +28,7 @@
 /** Dependencies of the `LinkGrants` of one sidecar. */
 export interface GrantSources {
   readonly clock: Clock;
-  readonly log: DecisionLogger;
+  readonly log: Logger;
   readonly metrics: SidecarMetrics;
   /** Runs that entries have reported, by request id. */
   readonly runs: ReadonlyMap<string, OwnedRun>;
--- a/packages/relay/src/followStore.ts
+++ b/packages/relay/src/followStore.ts
@@ -1,18 +1,18 @@
 import {batchDelayMs, storeWatchTimeoutMs} from '@lilacledge/policy';
 import type {Clock, Random} from '@lilacledge/shared';
-import {ConfigFollower} from './config/configFollower.js';
-import type {ConfigFollowing} from './config/configFollower.js';
+import {ConfigWatcher} from './config/configFollower.js';
+import type {ConfigWatcherOptions} from './config/configFollower.js';
 import {ConfigSource} from './config/configKeeper.js';
-import type {ConfigKeeper} from './config/configKeeper.js';
-import {StoreMirror} from './config/storeMirror.js';
-import type {MirrorPace, MirrorSection} from './config/storeMirror.js';
+import type {ActiveConfig} from './config/configKeeper.js';
+import {StoreWatcher} from './config/storeMirror.js';
+import type {WatchTiming, PrefixHandler} from './config/storeMirror.js';
 import type {EndpointDirectory} from './endpoints/endpointDirectory.js';
 import {Registrations} from './endpoints/registrations.js';
 import type {ViewGate} from './endpoints/viewGate.js';
-import type {DecisionLogger} from './log/boundedLog.js';
+import type {Logger} from './log/boundedLog.js';
 import type {ZoneEvacuations} from './endpoints/zoneEvacuations.js';
 import type {EntryPeers} from './peers/entryPeers.js';
-import {memberName, toMember} from './peers/membership.js';
+import {instanceOfKey, parseMember} from './peers/membership.js';
 import type {MetadataStore, WireCodec} from './ports.js';
 import type {RelaySettings} from './settings.js';
 import type {RequestSuspicions} from './suspicions/requestSuspicions.js';
@@ -23,10 +23,10 @@
   readonly settings: RelaySettings;
   readonly clock: Clock;
   readonly random: Random;
-  readonly log: DecisionLogger;
+  readonly log: Logger;
   readonly store: MetadataStore;
   readonly codec: WireCodec;
-  readonly config: ConfigKeeper;
+  readonly config: ActiveConfig;
   readonly endpoints: EndpointDirectory;
   readonly evacuations: ZoneEvacuations;
   readonly suspicions: RequestSuspicions;
@@ -55,8 +55,8 @@
   const sharedWatch = orders.kind === 'shared' ? orders.sharedWatch : undefined;
   const failed = (): void => watcher.probe();
   const configWatcher = createConfigWatcher(options, failed, sharedWatch);
-  const watcher: StoreMirror = new StoreMirror({
-    sections: [
+  const watcher: StoreWatcher = new StoreWatcher({
+    handlers: [
       createEndpointHandler(options),
       createMemberHandler(options),
       // The same watch brings suspicions and endpoints, so nothing is sent before both are known.
@@ -64,24 +64,24 @@
     ],
     store,
     listener: {
-      returned(seen) {
+      becameAvailable(seen) {
         // Must precede the deletions of registrations that expired during the outage.
         endpoints.noteStoreAvailable(seen, settings.settleMs);
-        configWatcher.release();
+        configWatcher.resume();
       },
-      lost() {
+      becameUnavailable() {
         viewGate.open();
         endpoints.noteStoreUnavailable();
-        configWatcher.hold();
+        configWatcher.pause();
       },
     },
     clock,
     random,
     log,
-    pace: createWatchTiming(options),
+    timing: createWatchTiming(options),
   });
   config.onChange((_table, source) => {
-    if (source === ConfigSource.PEER) configWatcher.noteOvertaken();
+    if (source === ConfigSource.PEER) configWatcher.noteNewerAtPeer();
   });
   if (orders.kind === 'separate') watchOrders(options, orders.handler, failed);
   // Endpoints are read only after the evacuated zones, so nothing is sent before these are known.
@@ -104,9 +104,9 @@
   /** The calls that read the configuration also read the orders. */
   | {
       readonly kind: 'shared';
-      readonly sharedWatch: NonNullable<ConfigFollowing['beside']>;
+      readonly sharedWatch: NonNullable<ConfigWatcherOptions['sharedWatch']>;
     }
-  | {readonly kind: 'separate'; readonly handler: MirrorSection}
+  | {readonly kind: 'separate'; readonly handler: PrefixHandler}
 );
 
 /**
@@ -131,28 +131,28 @@
   return {
     kind: 'shared',
     known,
-    sharedWatch: {commonPrefix, section: handler},
+    sharedWatch: {commonPrefix, handler: handler},
   };
 }
 
 function watchOrders(
   options: StoreSyncOptions,
-  handler: MirrorSection,
+  handler: PrefixHandler,
   failed: () => void,
 ): void {
   const {clock, log, random, settings, signal, store} = options;
-  const watcher = new StoreMirror({
-    sections: [handler],
+  const watcher = new StoreWatcher({
+    handlers: [handler],
     store,
-    listener: {returned: () => {}, lost: failed},
+    listener: {becameAvailable: () => {}, becameUnavailable: failed},
     clock,
     random,
     log,
-    pace: {
+    timing: {
       get waitMs() {
         return storeWatchTimeoutMs(settings.settleMs);
       },
-      gatherMs: 0,
+      batchDelayMs: 0,
     },
   });
   void watcher.run(signal);
@@ -163,7 +163,7 @@
   prefix: string,
   evacuations: ZoneEvacuations,
   onKnown: () => void,
-): MirrorSection {
+): PrefixHandler {
   const zoneOf = (key: string): string => key.slice(prefix.length);
   return {
     prefix,
@@ -182,10 +182,10 @@
 function createConfigWatcher(
   options: StoreSyncOptions,
   failed: () => void,
-  sharedWatch: ConfigFollowing['beside'],
-): ConfigFollower {
+  sharedWatch: ConfigWatcherOptions['sharedWatch'],
+): ConfigWatcher {
   const {clock, codec, config, log, random, settings, store} = options;
-  return new ConfigFollower({
+  return new ConfigWatcher({
     key: codec.configKey,
     store,
     clock,
@@ -197,18 +197,18 @@
     written: (value) => config.adopt(value, ConfigSource.STORE),
     deleted: () => log.error('config.deleted'),
     failed,
-    beside: sharedWatch,
+    sharedWatch: sharedWatch,
   });
 }
 
 /** Evaluated at each use, since a reload of the settings file may change the values. */
-function createWatchTiming(options: StoreSyncOptions): MirrorPace {
+function createWatchTiming(options: StoreSyncOptions): WatchTiming {
   const {config, endpoints, settings} = options;
   return {
     get waitMs() {
       return storeWatchTimeoutMs(settings.settleMs);
     },
-    get gatherMs() {
+    get batchDelayMs() {
       const services = config.current?.config.services ?? [];
       const names = services.map(({name}) => name);
       return batchDelayMs(settings.drainMs, endpoints.viewOf(names));
@@ -216,7 +216,7 @@
   };
 }
 
-function createEndpointHandler(options: StoreSyncOptions): MirrorSection {
+function createEndpointHandler(options: StoreSyncOptions): PrefixHandler {
   const {codec, config, endpoints, log} = options;
   const registrations = new Registrations(endpoints, config, codec, log);
   return {
@@ -231,19 +231,19 @@
   codec,
   log,
   peers,
-}: StoreSyncOptions): MirrorSection {
+}: StoreSyncOptions): PrefixHandler {
   const prefix = codec.memberPrefix;
   return {
     prefix,
     written: (item) => {
-      const member = toMember(item, prefix);
+      const member = parseMember(item, prefix);
       if (member === undefined) {
         log.warn('member.refused', {key: item.key, revision: item.revision});
-        peers.noteMemberGone(memberName(item.key, prefix));
+        peers.noteMemberExpired(instanceOfKey(item.key, prefix));
         return;
       }
-      peers.noteMember(member);
+      peers.noteMemberRegistered(member);
     },
-    deleted: (key) => peers.noteMemberGone(memberName(key, prefix)),
+    deleted: (key) => peers.noteMemberExpired(instanceOfKey(key, prefix)),
   };
 }
--- a/packages/relay/src/http/metricsServer.ts
+++ b/packages/relay/src/http/metricsServer.ts
@@ -1,7 +1,7 @@
 import {createServer} from 'node:http';
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {Registry} from 'prom-client';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {EndpointAddress} from '../model/index.js';
 
 const METRICS_PATH = '/metrics';
@@ -24,7 +24,7 @@
 export function startMetricsServer(
   registry: Registry,
   address: EndpointAddress,
-  log: DecisionLogger,
+  log: Logger,
 ): Server {
   const server = createServer((request, response) => {
     void answerMetrics(registry, request, response);
--- a/packages/relay/src/index.ts
+++ b/packages/relay/src/index.ts
@@ -5,7 +5,7 @@
 export {callHttp} from './http/callHttp.js';
 export type {BodyTransfer, HttpCall, HttpReply} from './http/callHttp.js';
 export {createBoundedLog, silentLog} from './log/boundedLog.js';
-export type {DecisionLogger} from './log/boundedLog.js';
+export type {Logger} from './log/boundedLog.js';
 export * from './model/index.js';
 export type * from './ports.js';
 export type {RelaySettings} from './settings.js';
--- a/packages/relay/src/log/__tests__/boundedLog.test.ts
+++ b/packages/relay/src/log/__tests__/boundedLog.test.ts
@@ -1,12 +1,12 @@
 import {VirtualClock} from '@lilacledge/shared';
 import {beforeEach, describe, expect, it} from 'vitest';
 import {createBoundedLog} from '../boundedLog.js';
-import type {DecisionLogger} from '../boundedLog.js';
+import type {Logger} from '../boundedLog.js';
 
 let clock: VirtualClock;
 let written: string[];
 let isRead: boolean;
-let log: DecisionLogger;
+let log: Logger;
 
 beforeEach(() => {
   clock = new VirtualClock();
--- a/packages/relay/src/log/boundedLog.ts
+++ b/packages/relay/src/log/boundedLog.ts
@@ -19,7 +19,7 @@
 export type LogLevel = (typeof LogLevel)[keyof typeof LogLevel];
 
 /** Writes structured log lines: an event name and the fields that explain it. */
-export interface DecisionLogger {
+export interface Logger {
   error(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   info(event: string, fields?: LogFields): void;
@@ -49,7 +49,7 @@
 const STDOUT_FD = 1;
 
 /** A rate-limited logger that can be flushed before the process exits. */
-export interface BoundedLog extends DecisionLogger {
+export interface BoundedLog extends Logger {
   /** Writes the buffered lines synchronously, which blocks until they are read. */
   flush(): void;
 }
@@ -171,7 +171,7 @@
 }
 
 /** A logger that discards all lines. */
-export const silentLog: DecisionLogger = {
+export const silentLog: Logger = {
   error: () => {},
   warn: () => {},
   info: () => {},
--- a/packages/relay/src/peers/__tests__/linkPlan.test.ts
+++ b/packages/relay/src/peers/__tests__/linkPlan.test.ts
@@ -1,6 +1,6 @@
 import {describe, expect, it} from 'vitest';
 import {
-  entriesOfSidecar,
+  entriesForSidecar,
   entriesToDial,
   crossZoneEnginesToDial,
 } from '../linkPlan.js';
@@ -82,17 +82,17 @@
 
 describe('entriesOfSidecar', () => {
   it('returns all entries of a small fleet', () => {
-    expect(entriesOfSidecar('north', fleetOf(12))).toHaveLength(12);
+    expect(entriesForSidecar('north', fleetOf(12))).toHaveLength(12);
   });
 
   it('returns the entries of its own zone in a large fleet', () => {
-    const entries = entriesOfSidecar('north', fleetOf(27));
+    const entries = entriesForSidecar('north', fleetOf(27));
     expect(entries).toHaveLength(9);
     expect(new Set(entries.map(({zone}) => zone))).toEqual(new Set(['north']));
   });
 
   it('returns entries of other zones when its own zone has none', () => {
-    expect(entriesOfSidecar('east', fleetOf(27)).length).toBeGreaterThan(0);
+    expect(entriesForSidecar('east', fleetOf(27)).length).toBeGreaterThan(0);
   });
 });
 
--- a/packages/relay/src/peers/entryPeers.ts
+++ b/packages/relay/src/peers/entryPeers.ts
@@ -2,7 +2,7 @@
 import {assertNever, sleep} from '@lilacledge/shared';
 import type {CancelTimer} from '@lilacledge/shared';
 import {ConfigSource} from '../config/configKeeper.js';
-import type {ConfigKeeper} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/configKeeper.js';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import {LeaveSource} from '../endpoints/endpoint.js';
 import type {Evacuator} from '../evacuation/evacuator.js';
@@ -19,7 +19,7 @@
   hasPartialView,
 } from './linkPlan.js';
 import {LoadQueries} from './loadLooks.js';
-import type {AskedPrompt} from './loadLooks.js';
+import type {QueriedPrompt} from './loadLooks.js';
 import {MembershipNotifier} from './memberNews.js';
 import type {Member} from './membership.js';
 import {MemberView} from './memberView.js';
@@ -63,7 +63,7 @@
   /** Links that this entry dials to sidecars of other zones. */
   private readonly crossZoneLinks: CrossZoneLinks;
   /** Reservations at engines to which this entry copies runs. */
-  readonly copies: CopyReservations;
+  readonly copyReservations: CopyReservations;
   private readonly loadQueries: LoadQueries;
   private cancelPeriodicWork: () => void = () => {};
   private cancelPlan: CancelTimer | undefined;
@@ -74,7 +74,7 @@
 
   constructor(
     private readonly context: RelayContext,
-    private readonly config: ConfigKeeper,
+    private readonly config: ActiveConfig,
     private readonly evacuator: () => Evacuator,
     readonly address: EndpointAddress,
   ) {
@@ -116,7 +116,7 @@
       (endpoint) => this.sidecarOf(endpoint),
       clock,
     );
-    this.copies = new CopyReservations(
+    this.copyReservations = new CopyReservations(
       (endpoint) => this.connectToSidecar(endpoint),
       clock,
     );
@@ -157,12 +157,15 @@
   }
 
   /** Queries engines for their current loads; they count the prompt from then on. */
-  askLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): Promise<void> {
+  queryLoads(
+    endpoints: readonly Endpoint[],
+    prompt: QueriedPrompt,
+  ): Promise<void> {
     return this.loadQueries.query(endpoints, prompt);
   }
 
   /** Tells queried engines that the prompt is not sent to them. */
-  releaseLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): void {
+  releaseLoads(endpoints: readonly Endpoint[], prompt: QueriedPrompt): void {
     this.loadQueries.release(endpoints, prompt);
   }
 
@@ -171,11 +174,11 @@
   }
 
   /** An entry registered itself in the store. */
-  noteMember(member: Member): void {
+  noteMemberRegistered(member: Member): void {
     if (this.members.noteRegistered(member)) this.handleFleetChange();
   }
 
-  noteMemberGone(instance: string): void {
+  noteMemberExpired(instance: string): void {
     if (this.members.noteExpired(instance)) this.handleFleetChange();
   }
 
@@ -355,7 +358,7 @@
         applyUpdate(this.context, peer, message);
         return;
       case 'copyAnswer':
-        this.copies.noteAnswer(message.requestId, message.isFree);
+        this.copyReservations.noteAnswer(message.requestId, message.isFree);
         return;
       case 'members':
       case 'hello':
--- a/packages/relay/src/peers/linkPlan.ts
+++ b/packages/relay/src/peers/linkPlan.ts
@@ -46,7 +46,7 @@
  * The entries that a sidecar links to: all of a small fleet, otherwise those of its own
  * availability zone, which prefer its engine.
  */
-export function entriesOfSidecar<T extends {readonly zone: string}>(
+export function entriesForSidecar<T extends {readonly zone: string}>(
   zone: string,
   members: readonly T[],
 ): readonly T[] {
--- a/packages/relay/src/peers/loadLooks.ts
+++ b/packages/relay/src/peers/loadLooks.ts
@@ -9,7 +9,7 @@
 const ANSWER_TIMEOUT_MS = 20;
 
 /** A prompt that will be sent to one of the queried engines. */
-export interface AskedPrompt {
+export interface QueriedPrompt {
   readonly requestId: string;
   readonly promptTokens: number;
 }
@@ -38,7 +38,7 @@
    */
   async query(
     endpoints: readonly Endpoint[],
-    prompt: AskedPrompt,
+    prompt: QueriedPrompt,
   ): Promise<void> {
     const targets = endpoints.flatMap((endpoint) => {
       const sidecar = this.sidecarOf(endpoint);
@@ -52,7 +52,7 @@
   }
 
   /** Tells queried engines to stop counting the prompt. */
-  release(endpoints: readonly Endpoint[], {requestId}: AskedPrompt): void {
+  release(endpoints: readonly Endpoint[], {requestId}: QueriedPrompt): void {
     for (const endpoint of endpoints) {
       this.sidecarOf(endpoint)?.send({type: 'loadRelease', requestId});
     }
@@ -61,7 +61,7 @@
   private querySidecar(
     endpoint: Endpoint,
     sidecar: Peer,
-    {requestId, promptTokens}: AskedPrompt,
+    {requestId, promptTokens}: QueriedPrompt,
   ): Promise<void> {
     return new Promise((resolve) => {
       const waiting = this.waiting.get(endpoint) ?? new Set();
--- a/packages/relay/src/peers/memberNews.ts
+++ b/packages/relay/src/peers/memberNews.ts
@@ -1,9 +1,9 @@
 import type {CancelTimer, Clock, Random} from '@lilacledge/shared';
 import {formatAddress} from '../model/index.js';
-import {entriesOfSidecar, hasPartialView} from './linkPlan.js';
+import {entriesForSidecar, hasPartialView} from './linkPlan.js';
 import type {Member} from './membership.js';
 import type {Peer} from './peerMesh.js';
-import type {EntryPlace} from './peerMessages.js';
+import type {EntryLocation} from './peerMessages.js';
 
 /**
  * Delay for batching changes before a sidecar is notified, plus up to half of it as
@@ -71,7 +71,7 @@
     if (subscriber === undefined) return;
     const members = this.members();
     const zoneByAddress = zoneByAddressFor(sidecar.hello.zone, members);
-    const entries: EntryPlace[] = [];
+    const entries: EntryLocation[] = [];
     for (const [address, zone] of zoneByAddress) {
       if (!subscriber.zoneByAddress.has(address)) entries.push({address, zone});
       subscriber.zoneByAddress.set(address, zone);
@@ -90,7 +90,7 @@
   zone: string,
   members: readonly Member[],
 ): ReadonlyMap<string, string> {
-  const entries = entriesOfSidecar(zone, members);
+  const entries = entriesForSidecar(zone, members);
   return new Map(
     entries.map((member) => [formatAddress(member.address), member.zone]),
   );
--- a/packages/relay/src/peers/membership.ts
+++ b/packages/relay/src/peers/membership.ts
@@ -1,7 +1,7 @@
 import {sleep} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
-import {describeFailure} from '../config/storeReads.js';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import {describeStoreFailure} from '../config/storeReads.js';
+import type {Logger} from '../log/boundedLog.js';
 import {formatAddress, parseAddress} from '../model/index.js';
 import type {EndpointAddress} from '../model/index.js';
 import type {MetadataStore, StoreItem} from '../ports.js';
@@ -24,8 +24,11 @@
 }
 
 /** Parses a registration; undefined if it is malformed. */
-export function toMember(item: StoreItem, prefix: string): Member | undefined {
-  const instance = memberName(item.key, prefix);
+export function parseMember(
+  item: StoreItem,
+  prefix: string,
+): Member | undefined {
+  const instance = instanceOfKey(item.key, prefix);
   const [addressText, zone, ...rest] = item.value.toString('utf8').split(' ');
   const address = parseAddress(addressText ?? '');
   if (address === undefined || !zone || !instance || rest.length > 0) {
@@ -35,7 +38,7 @@
 }
 
 /** The name of the entry that is registered under a key below `prefix`. */
-export function memberName(key: string, prefix: string): string {
+export function instanceOfKey(key: string, prefix: string): string {
   return key.slice(prefix.length);
 }
 
@@ -45,7 +48,7 @@
   prefix: string,
   store: MetadataStore,
   clock: Clock,
-  log: DecisionLogger,
+  log: Logger,
   signal: AbortSignal,
 ): Promise<void> {
   let leaseId: number | undefined;
@@ -65,7 +68,7 @@
   member: Member,
   prefix: string,
   store: MetadataStore,
-  log: DecisionLogger,
+  log: Logger,
 ): Promise<number | undefined> {
   const granted = await store.grantLease(LEASE_TTL_MS);
   if (granted.kind !== 'ok') return undefined;
@@ -76,14 +79,14 @@
     leaseId,
   });
   if (put.kind === 'ok') return leaseId;
-  log.info('member.notRegistered', {cause: describeFailure(put)});
+  log.info('member.notRegistered', {cause: describeStoreFailure(put)});
   return undefined;
 }
 
 async function renew(
   leaseId: number,
   store: MetadataStore,
-  log: DecisionLogger,
+  log: Logger,
 ): Promise<number | undefined> {
   const renewed = await store.renewLease(leaseId);
   // After other failures the lease may still exist: it is not replaced but renewed again.
--- a/packages/relay/src/peers/passedOnNews.ts
+++ b/packages/relay/src/peers/passedOnNews.ts
@@ -1,5 +1,5 @@
 import type {PeerLimitReport} from '@lilacledge/policy';
-import type {ConfigKeeper} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/configKeeper.js';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import type {RelayContext} from '../requests/relayContext.js';
 import type {PeerMessage} from './peerMessages.js';
@@ -29,7 +29,7 @@
     retryBudgets,
     switches,
   }: UpdateSources,
-  config: ConfigKeeper,
+  config: ActiveConfig,
   broadcast: (message: PeerMessage) => void,
 ): void {
   config.onChange(() => {
@@ -62,7 +62,7 @@
     suspicions,
     retryBudgets,
   }: Omit<UpdateSources, 'endpoints' | 'switches'>,
-  config: ConfigKeeper,
+  config: ActiveConfig,
 ): PeerMessage[] {
   return [
     // First, as it identifies the sender's incarnation, to which the other messages belong.
--- a/packages/relay/src/peers/peerMesh.ts
+++ b/packages/relay/src/peers/peerMesh.ts
@@ -3,7 +3,7 @@
 import {backoffMs} from '@lilacledge/shared';
 import type {CancelTimer, Clock, Random} from '@lilacledge/shared';
 import {WebSocket, WebSocketServer} from 'ws';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import {formatAddress} from '../model/index.js';
 import type {EndpointAddress} from '../model/index.js';
 import {MAX_FRAME_BYTES, PeerLink} from './peerLink.js';
@@ -49,7 +49,7 @@
     private readonly events: PeerMeshEvents,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly log: DecisionLogger,
+    private readonly log: Logger,
   ) {}
 
   get peers(): Iterable<Peer> {
--- a/packages/relay/src/peers/peerMessages.ts
+++ b/packages/relay/src/peers/peerMessages.ts
@@ -27,7 +27,7 @@
 }
 
 /** Address and availability zone of an entry. */
-export interface EntryPlace {
+export interface EntryLocation {
   readonly address: string;
   readonly zone: string;
 }
@@ -35,7 +35,7 @@
 /** Entries that were added or removed since the sender's last message of this type. */
 export interface Members {
   readonly type: 'members';
-  readonly entries: readonly EntryPlace[];
+  readonly entries: readonly EntryLocation[];
   /** Addresses of the removed entries. */
   readonly gone: readonly string[];
   /** True where a sidecar should link to entries of its own zone only. */
@@ -316,6 +316,6 @@
 
 function isEntryLocation(value: unknown): boolean {
   if (typeof value !== 'object' || value === null) return false;
-  const {address, zone} = value as Partial<EntryPlace>;
+  const {address, zone} = value as Partial<EntryLocation>;
   return isText(address) && isText(zone);
 }
--- a/packages/relay/src/peers/suspicionMessage.ts
+++ b/packages/relay/src/peers/suspicionMessage.ts
@@ -10,7 +10,7 @@
 const EXPOSURES: ReadonlySet<unknown> = new Set(Object.values(Exposure));
 
 /** Validates a suspicion from another process; undefined if it is malformed. */
-export function toSuspicion(value: unknown): Suspicion | undefined {
+export function parseSuspicion(value: unknown): Suspicion | undefined {
   if (typeof value !== 'object' || value === null) return undefined;
   const {fingerprint, ends, cleared} = value as Partial<Suspicion>;
   if (!isName(fingerprint) || !isListOf(ends, isCrashEnd)) return undefined;
--- a/packages/relay/src/requests/awaitView.ts
+++ b/packages/relay/src/requests/awaitView.ts
@@ -1,7 +1,7 @@
 import {decideWithoutConfig, decideWithoutEndpoint} from '@lilacledge/policy';
 import {middleOfRange, sleep} from '@lilacledge/shared';
 import type {Random} from '@lilacledge/shared';
-import type {ConfigKeeper} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/configKeeper.js';
 import type {RouteTable} from '../config/routeTable.js';
 import type {CallerExchange} from './callerExchange.js';
 import {hasAllowedRegion, isInAllowedRegion} from './permittedPlaces.js';
@@ -20,7 +20,7 @@
 /** Returns the active configuration; right after the start of the process, waits for it. */
 export async function awaitConfig(
   context: RelayContext,
-  config: ConfigKeeper,
+  config: ActiveConfig,
 ): Promise<ConfigResult> {
   if (config.current === undefined) {
     const random = retryAfterRandom(context);
@@ -29,7 +29,7 @@
       return {kind: 'missing', retryAfterMs: decision.retryAfterMs};
     }
     await waitForNotice(context, decision.forMs, (done) =>
-      config.onceKnown(done),
+      config.onNextChange(done),
     );
   }
   const table = config.current;
--- a/packages/relay/src/requests/endpointAttempt.ts
+++ b/packages/relay/src/requests/endpointAttempt.ts
@@ -58,7 +58,7 @@
     endpointId: endpoint.id,
     timeLeftMs: exchange.timeLeftMs,
     organisation: organisation?.name,
-    withholdsKey: table.hasKeys,
+    withholdsKey: table.requiresApiKeys,
     bodyBytes: exchange.body.length,
     isResumable: route.isResumable,
     ...options,
--- a/packages/relay/src/requests/handleRequest.ts
+++ b/packages/relay/src/requests/handleRequest.ts
@@ -3,7 +3,7 @@
 import {readBody} from '../http/readBody.js';
 import {RequestClass} from '../model/index.js';
 import type {CallerRequest, EngineTraits} from '../model/index.js';
-import type {ConfigKeeper} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/configKeeper.js';
 import type {RouteTable} from '../config/routeTable.js';
 import {answerWithText, Status} from './answerCaller.js';
 import {awaitConfig} from './awaitView.js';
@@ -32,7 +32,7 @@
 /** Handles one request of a caller up to its final answer. Never rejects. */
 export async function handleRequest(
   context: RelayContext,
-  config: ConfigKeeper,
+  config: ActiveConfig,
   incoming: IncomingMessage,
   response: ServerResponse,
 ): Promise<void> {
@@ -109,7 +109,11 @@
     request.apiKey === undefined
       ? undefined
       : table.findOrganisation(request.apiKey);
-  if (table.hasKeys && organisation === undefined && !route.isAnonymous) {
+  if (
+    table.requiresApiKeys &&
+    organisation === undefined &&
+    !route.isAnonymous
+  ) {
     return refusal(Status.UNAUTHORIZED, 'no organisation has this API key');
   }
   const service = table.chooseService(route, request.requestId);
--- a/packages/relay/src/requests/relayContext.ts
+++ b/packages/relay/src/requests/relayContext.ts
@@ -13,9 +13,9 @@
 import type {ViewGate} from '../endpoints/viewGate.js';
 import type {ZoneEvacuations} from '../endpoints/zoneEvacuations.js';
 import type {ZoneLoads} from '../endpoints/zoneLoads.js';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {RelayMetrics} from '../relayMetrics.js';
-import type {AskedPrompt} from '../peers/loadLooks.js';
+import type {QueriedPrompt} from '../peers/loadLooks.js';
 import type {WireCodec} from '../ports.js';
 import type {RelaySettings} from '../settings.js';
 import type {RequestSuspicions} from '../suspicions/requestSuspicions.js';
@@ -31,7 +31,7 @@
   readonly switches: Switches;
   readonly clock: Clock;
   readonly random: Random;
-  readonly log: DecisionLogger;
+  readonly log: Logger;
   readonly metrics: RelayMetrics;
   readonly codec: WireCodec;
   readonly endpoints: EndpointDirectory;
@@ -60,10 +60,10 @@
   /** Queries the current loads of engines, which count the prompt from then on. */
   queryLoads(
     endpoints: readonly Endpoint[],
-    prompt: AskedPrompt,
+    prompt: QueriedPrompt,
   ): Promise<void>;
   /** Tells engines that they will not get the prompt that they were queried for. */
-  releaseLoads(endpoints: readonly Endpoint[], prompt: AskedPrompt): void;
+  releaseLoads(endpoints: readonly Endpoint[], prompt: QueriedPrompt): void;
   /** Loads of engines whose sidecars do not report to this process. */
   readonly zoneLoads: ZoneLoads;
 }
--- a/packages/relay/src/sidecar/__tests__/entryLinks.test.ts
+++ b/packages/relay/src/sidecar/__tests__/entryLinks.test.ts
@@ -1,7 +1,7 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import {formatAddress} from '../../model/index.js';
 import type {EndpointAddress} from '../../model/index.js';
-import type {EntryPlace, Members} from '../../peers/peerMessages.js';
+import type {EntryLocation, Members} from '../../peers/peerMessages.js';
 import {EntryLinks} from '../entryLinks.js';
 
 let dialled: Set<string>;
@@ -20,7 +20,7 @@
 
 const SEED: EndpointAddress = {host: '10.0.9.9', port: 80};
 
-function entriesIn(zone: string, ...hosts: string[]): EntryPlace[] {
+function entriesIn(zone: string, ...hosts: string[]): EntryLocation[] {
   return hosts.map((host) => ({address: `${host}:80`, zone}));
 }
 
--- a/packages/relay/src/sidecar/engineLife.ts
+++ b/packages/relay/src/sidecar/engineLife.ts
@@ -2,7 +2,7 @@
 import type {Clock} from '@lilacledge/shared';
 import {LinkGrants} from '../evacuation/linkGrants.js';
 import type {OwnedRun} from '../evacuation/linkGrants.js';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {EngineReport} from '../model/index.js';
 import type {SidecarMetrics} from '../sidecarMetrics.js';
 import type {Switches} from '../switches.js';
@@ -12,7 +12,7 @@
 /** What all incarnations of one engine share. */
 export interface EngineIncarnationOptions {
   readonly clock: Clock;
-  readonly log: DecisionLogger;
+  readonly log: Logger;
   readonly metrics: SidecarMetrics;
   readonly switches: Switches;
   /** Runs that entries reported, by request id. */
--- a/packages/relay/src/suspicions/requestSuspicions.ts
+++ b/packages/relay/src/suspicions/requestSuspicions.ts
@@ -13,7 +13,7 @@
 import type {Clock} from '@lilacledge/shared';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import {hasProcessEnded} from '../http/hasEnded.js';
-import type {DecisionLogger} from '../log/boundedLog.js';
+import type {Logger} from '../log/boundedLog.js';
 import type {CallerExchange} from '../requests/callerExchange.js';
 
 /** A trial ends after this time at the latest; until then callers are told to retry. */
@@ -64,7 +64,7 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly log: DecisionLogger,
+    private readonly log: Logger,
     private readonly entries: TrialEntries,
   ) {
     this.known = new CrashSuspicions(clock);
--- a/packages/relay/src/suspicions/storedSuspicions.ts
+++ b/packages/relay/src/suspicions/storedSuspicions.ts
@@ -2,10 +2,10 @@
 import type {Suspicion} from '@lilacledge/policy';
 import {sleep} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
-import {describeFailure} from '../config/storeReads.js';
-import type {MirrorSection} from '../config/storeMirror.js';
-import type {DecisionLogger} from '../log/boundedLog.js';
-import {toSuspicion} from '../peers/suspicionMessage.js';
+import {describeStoreFailure} from '../config/storeReads.js';
+import type {PrefixHandler} from '../config/storeMirror.js';
+import type {Logger} from '../log/boundedLog.js';
+import {parseSuspicion} from '../peers/suspicionMessage.js';
 import type {MetadataStore} from '../ports.js';
 import {SuspicionSource} from './requestSuspicions.js';
 import type {RequestSuspicions} from './requestSuspicions.js';
@@ -21,7 +21,7 @@
   readonly store: MetadataStore;
   readonly prefix: string;
   readonly clock: Clock;
-  readonly log: DecisionLogger;
+  readonly log: Logger;
   readonly suspicions: RequestSuspicions;
   /** Ends all retries of writes. */
   readonly signal: AbortSignal;
@@ -58,12 +58,12 @@
 export function storedSuspicionSection(
   prefix: string,
   suspicions: RequestSuspicions,
-  log: DecisionLogger,
-): MirrorSection {
+  log: Logger,
+): PrefixHandler {
   return {
     prefix,
     written: ({key, value, revision}) => {
-      const suspicion = toSuspicion(parse(value));
+      const suspicion = parseSuspicion(parse(value));
       if (suspicion === undefined) {
         log.warn('suspicion.refused', {key, revision});
         return;
@@ -108,7 +108,7 @@
     leaseId,
   });
   if (put.kind === 'ok') return leaseId;
-  const cause = describeFailure(put);
+  const cause = describeStoreFailure(put);
   log.info('suspicion.notStored', {fingerprint, cause});
   await store.endLease(leaseId);
   return undefined;
