--- a/packages/relay/src/config/countedStore.ts
+++ b/packages/relay/src/config/countedStore.ts
@@ -37,7 +37,7 @@
       recordRead(store.watch(prefix, afterRevision, waitMs, signal)),
     grantLease: (ttlMs) => recordReply(store.grantLease(ttlMs)),
     renewLease: (leaseId) => recordReply(store.renewLease(leaseId)),
-    endLease: (leaseId) => recordReply(store.endLease(leaseId)),
+    revokeLease: (leaseId) => recordReply(store.revokeLease(leaseId)),
     put: (write) => recordReply(store.put(write)),
   };
 }
--- a/packages/relay/src/peers/membership.ts
+++ b/packages/relay/src/peers/membership.ts
@@ -61,7 +61,7 @@
       leaseId === undefined ? REGISTRATION_RETRY_MS : RENEWAL_INTERVAL_MS;
     await sleep(clock, waitMs, signal);
   }
-  if (leaseId !== undefined) await store.endLease(leaseId);
+  if (leaseId !== undefined) await store.revokeLease(leaseId);
 }
 
 async function register(
--- a/packages/relay/src/ports.ts
+++ b/packages/relay/src/ports.ts
@@ -80,7 +80,7 @@
   /** Resolves with the id of the new lease. */
   grantLease(ttlMs: number): Promise<StoreReply<number>>;
   renewLease(leaseId: number): Promise<StoreReply<null>>;
-  endLease(leaseId: number): Promise<StoreReply<null>>;
+  revokeLease(leaseId: number): Promise<StoreReply<null>>;
   put(write: LeasedWrite): Promise<StoreReply<null>>;
 }
 
@@ -98,12 +98,12 @@
 }
 
 /** Parameters for sending a request to one endpoint. */
-export interface SendTerms {
+export interface SendParameters {
   readonly endpointId: string;
   readonly timeLeftMs: number;
   readonly organisation?: string;
   /** True if the configuration requires API keys, which must not be forwarded to endpoints. */
-  readonly withholdsKey: boolean;
+  readonly stripsApiKey: boolean;
   readonly bodyBytes: number;
   readonly continueFrom?: MemorySource;
   /** Id of the last event that the client received; set when a generation continues. */
@@ -182,7 +182,7 @@
     target: string,
     rawHeaders: RawHeaders,
   ): CallerRequest;
-  encodeSend(request: CallerRequest, terms: SendTerms): string[];
+  encodeSend(request: CallerRequest, terms: SendParameters): string[];
   readAnswer(status: number, rawHeaders: RawHeaders): AnswerHead;
   decodeConfig(value: Buffer): Decoded<ServingConfig>;
   decodeEndpoint(key: string, value: Buffer): Decoded<EndpointRecord>;
--- a/packages/relay/src/relayMetrics.ts
+++ b/packages/relay/src/relayMetrics.ts
@@ -17,7 +17,7 @@
   readonly budgetRefusals: Counter;
   readonly evacuations: Counter;
   /** Counts answers that the entry itself generated. */
-  readonly ownAnswers: Counter;
+  readonly localAnswers: Counter;
   readonly configVersion: Gauge;
   /** Counts suspensions of the instance and steps of its wall clock. */
   readonly clockGaps: Counter;
@@ -28,7 +28,7 @@
   /** Time from the head to the end of the store's answers to reads. */
   readonly storeTransfers: Histogram;
   /** Adds a gauge whose value is read at each scrape. */
-  gauge(name: string, help: string, read: () => number): void;
+  addGauge(name: string, help: string, read: () => number): void;
   noteOutcome(route: Route, verdict: string, ageMs: number): void;
   noteFirstEvent(route: Route, ageMs: number): void;
   notePause(longestMs: number): void;
@@ -71,7 +71,7 @@
       labelNames: ['end'],
       registers,
     }),
-    ownAnswers: new Counter({
+    localAnswers: new Counter({
       name: 'lilacledge_own_answers_total',
       help: 'Answers that no endpoint gave, by status and cause.',
       labelNames: ['status', 'cause'],
@@ -106,7 +106,7 @@
       buckets: PAUSE_BUCKETS_S,
       registers,
     }),
-    gauge(name, help, read) {
+    addGauge(name, help, read) {
       new Gauge({
         name,
         help,
@@ -193,6 +193,6 @@
     ],
   ];
   for (const [name, help, read] of definitions) {
-    metrics.gauge(`lilacledge_${name}`, help, read);
+    metrics.addGauge(`lilacledge_${name}`, help, read);
   }
 }
--- a/packages/relay/src/requests/endpointAttempt.ts
+++ b/packages/relay/src/requests/endpointAttempt.ts
@@ -5,7 +5,7 @@
 import {sendToEndpoint} from '../http/sendToEndpoint.js';
 import type {SendOutcome} from '../http/sendToEndpoint.js';
 import {RequestClass} from '../model/index.js';
-import type {AnswerHead, SendTerms} from '../ports.js';
+import type {AnswerHead, SendParameters} from '../ports.js';
 import type {CallerExchange} from './callerExchange.js';
 import type {RelayContext} from './relayContext.js';
 
@@ -33,7 +33,7 @@
 ]);
 
 /** Parameters that differ between the sends of one request. */
-export type SendOptions = Pick<SendTerms, 'continueFrom' | 'lastEventId'>;
+export type SendOptions = Pick<SendParameters, 'continueFrom' | 'lastEventId'>;
 
 /** Sends the exchange's request to one endpoint and reads the head of its answer. */
 export async function attemptAt(
@@ -58,7 +58,7 @@
     endpointId: endpoint.id,
     timeLeftMs: exchange.timeLeftMs,
     organisation: organisation?.name,
-    withholdsKey: table.requiresApiKeys,
+    stripsApiKey: table.requiresApiKeys,
     bodyBytes: exchange.body.length,
     isResumable: route.isResumable,
     ...options,
--- a/packages/relay/src/requests/handleRequest.ts
+++ b/packages/relay/src/requests/handleRequest.ts
@@ -136,7 +136,7 @@
   text: string,
   retryAfterMs?: number,
 ): void {
-  context.metrics.ownAnswers.inc({status, cause: text});
+  context.metrics.localAnswers.inc({status, cause: text});
   context.log.info('request.refused', {
     request: request.requestId,
     host: request.host,
--- a/packages/relay/src/suspicions/__tests__/storedSuspicions.test.ts
+++ b/packages/relay/src/suspicions/__tests__/storedSuspicions.test.ts
@@ -55,7 +55,7 @@
       writes.push(write);
       return {kind: 'ok', value: null};
     },
-    endLease: async (leaseId) => {
+    revokeLease: async (leaseId) => {
       endedLeases.push(leaseId);
       return {kind: 'ok', value: null};
     },
--- a/packages/relay/src/suspicions/storedSuspicions.ts
+++ b/packages/relay/src/suspicions/storedSuspicions.ts
@@ -110,7 +110,7 @@
   if (put.kind === 'ok') return leaseId;
   const cause = describeStoreFailure(put);
   log.info('suspicion.notStored', {fingerprint, cause});
-  await store.endLease(leaseId);
+  await store.revokeLease(leaseId);
   return undefined;
 }
 
@@ -119,7 +119,7 @@
   lease: Promise<number | undefined>,
 ): Promise<void> {
   const leaseId = await lease;
-  if (leaseId !== undefined) await store.endLease(leaseId);
+  if (leaseId !== undefined) await store.revokeLease(leaseId);
 }
 
 function parse(value: Buffer): unknown {
