--- a/packages-private/rig/src/__tests__/generationFaults.test.ts
+++ b/packages-private/rig/src/__tests__/generationFaults.test.ts
@@ -151,7 +151,7 @@
       expect(caller.endedMs - stalledMs).toBeLessThan(20_000);
     });
 
-    it.each([LinkWay.THERE, LinkWay.BACK])(
+    it.each([LinkWay.TO_SIDECAR, LinkWay.TO_ENTRY])(
       'stalls in direction %s only: no token is lost or duplicated',
       async (way) => {
         const caller = rig.ask('entry-1', {outputTokens: 1_500});
@@ -218,7 +218,7 @@
     const caller = rig.ask('entry-1', {outputTokens: 2_000});
     await advanceUntilTokens(caller, 50);
     const target = rig.sidecars.get(findServingSidecar(rig, caller))!;
-    rig.network.stall(target.address, [LinkWay.BACK]);
+    rig.network.stall(target.address, [LinkWay.TO_ENTRY]);
     await rig.clock.advance(200);
     caller.disconnect();
     const receivedCount = caller.texts.length;
--- a/packages-private/rig/src/rig.ts
+++ b/packages-private/rig/src/rig.ts
@@ -6,7 +6,7 @@
 import type {Entry} from '@lilacledge/entry';
 import {createConfigStore} from '@lilacledge/store';
 import type {Member, MemberRole} from '@lilacledge/store';
-import {MemoryNetwork, toEventId} from '@lilacledge/protocol';
+import {MemoryNetwork, formatEventId} from '@lilacledge/protocol';
 import {createRandom, toMintedKey, VirtualClock} from '@lilacledge/shared';
 import type {Random} from '@lilacledge/shared';
 import {createSidecar} from '@lilacledge/sidecar';
@@ -212,7 +212,7 @@
       {
         requestId: caller.requestId,
         organisation: directory.byApiKey(rigApiKey(caller.organisation))!,
-        eventId: toEventId(caller.streamTag, caller.texts.length),
+        eventId: formatEventId(caller.streamTag, caller.texts.length),
         traceparent: '',
       },
       abortController.signal,
--- a/packages/entry/src/http/callerApi.ts
+++ b/packages/entry/src/http/callerApi.ts
@@ -6,7 +6,7 @@
   mintTimeMs,
   notRun,
 } from '@lilacledge/shared';
-import type {HopSpan} from '@lilacledge/telemetry';
+import type {RequestSpan} from '@lilacledge/telemetry';
 import {H3} from 'h3';
 import type {H3Event} from 'h3';
 import type {PlainCallRequest, StreamEvent} from '../callerRequest.js';
@@ -32,7 +32,7 @@
   readonly requestId: string;
   readonly organisation: Organisation;
   readonly directory: OrganisationDirectory;
-  readonly span: HopSpan;
+  readonly span: RequestSpan;
 }
 
 /** Creates the HTTP API for callers: completions, models and plain services. */
@@ -68,7 +68,10 @@
 ): Promise<Response> {
   const requestId = event.req.headers.get('x-request-id') ?? randomUUID();
   const traceparent = event.req.headers.get('traceparent') ?? '';
-  const span = entry.ports.tracer.startHop('entry.request', traceparent);
+  const span = entry.ports.tracer.startRequestSpan(
+    'entry.request',
+    traceparent,
+  );
   try {
     const caller = authenticate(entry, event, requestId, span);
     const response = await run(caller);
@@ -94,7 +97,7 @@
   entry: Entry,
   event: H3Event,
   requestId: string,
-  span: HopSpan,
+  span: RequestSpan,
 ): AuthenticatedCaller {
   const {directory} = entry;
   if (directory === undefined) {
--- a/packages/entry/src/http/streamResponse.ts
+++ b/packages/entry/src/http/streamResponse.ts
@@ -1,4 +1,4 @@
-import {toEventId} from '@lilacledge/protocol';
+import {formatEventId} from '@lilacledge/protocol';
 import {FailureKind, mayHaveRun} from '@lilacledge/shared';
 import type {StreamEvent} from '../callerRequest.js';
 import type {CompletionFormatter} from './completionForm.js';
@@ -102,13 +102,13 @@
     case 'tokens':
       return event.texts
         .map((text, index) => {
-          const id = toEventId(event.streamTag, event.offset + index + 1);
+          const id = formatEventId(event.streamTag, event.offset + index + 1);
           return `id: ${id}\ndata: ${formatter.chunk(text)}\n\n`;
         })
         .join('');
     case 'done': {
       const {finishReason, promptTokens, completionTokens} = event;
-      const id = toEventId(event.streamTag, completionTokens);
+      const id = formatEventId(event.streamTag, completionTokens);
       const chunk = formatter.lastChunk(
         finishReason,
         promptTokens,
--- a/packages/entry/src/relayCall.ts
+++ b/packages/entry/src/relayCall.ts
@@ -123,7 +123,7 @@
   const chosen = owners[0] ?? slotHolders[0];
   if (chosen !== undefined) return {kind: 'owner', peer: chosen.peer};
   const failure = notRun(
-    FailureKind.KEY_HOME_UNAVAILABLE,
+    FailureKind.KEY_OWNER_UNAVAILABLE,
     KEY_UNOWNED_DETAIL,
     KEY_UNOWNED_RETRY_MS,
   );
--- a/packages/entry/src/sidecarPeer.ts
+++ b/packages/entry/src/sidecarPeer.ts
@@ -1,6 +1,6 @@
 import {setMaxListeners} from 'node:events';
 import type {EntrySettings} from '@lilacledge/config';
-import {greetSidecar, SidecarState} from '@lilacledge/protocol';
+import {authenticateSidecar, SidecarState} from '@lilacledge/protocol';
 import type {
   ConfigOffer,
   ConfigRequest,
@@ -221,7 +221,7 @@
     const cancel = this.ports.clock.after(HANDSHAKE_TIMEOUT_MS, () => {
       link.close({kind: 'closed', detail: 'greeting took too long'});
     });
-    const handshake = await greetSidecar(
+    const handshake = await authenticateSidecar(
       link,
       {instanceId: this.settings.instanceId, zone: this.settings.zone},
       this.settings.linkKey,
--- a/packages/policy/src/keyOwnership.ts
+++ b/packages/policy/src/keyOwnership.ts
@@ -72,7 +72,7 @@
   if (interval === undefined || createdMs >= interval.untilWallMs) {
     return refuse(
       notRun(
-        FailureKind.KEY_HOME_UNAVAILABLE,
+        FailureKind.KEY_OWNER_UNAVAILABLE,
         KEY_UNOWNED_DETAIL,
         KEY_UNOWNED_RETRY_MS,
       ),
--- a/packages/protocol/src/greeting.ts
+++ b/packages/protocol/src/greeting.ts
@@ -25,7 +25,7 @@
  * HMAC over it that it has the shared key and sends its own nonce, and the sidecar proves
  * the same over that one.
  */
-export async function greetSidecar(
+export async function authenticateSidecar(
   link: Link,
   identity: EntryIdentity,
   linkKey: string,
@@ -51,7 +51,7 @@
 }
 
 /** The sidecar's side of the handshake; see `authenticateSidecar`. */
-export async function greetEntry(
+export async function authenticateEntry(
   link: Link,
   identity: SidecarIdentity,
   linkKey: string,
--- a/packages/protocol/src/memoryLink.ts
+++ b/packages/protocol/src/memoryLink.ts
@@ -16,7 +16,7 @@
 }
 
 /** The two directions of a link; the entry opens it. */
-export const LinkWay = {THERE: 'there', BACK: 'back'} as const;
+export const LinkWay = {TO_SIDECAR: 'there', TO_ENTRY: 'back'} as const;
 export type LinkWay = (typeof LinkWay)[keyof typeof LinkWay];
 
 /** Deliveries held back in the given directions, to be made in order later. */
@@ -72,7 +72,7 @@
   /** Holds back messages to and from `address` until `heal`, with the links open. */
   stall(
     address: LinkAddress,
-    ways: readonly LinkWay[] = [LinkWay.THERE, LinkWay.BACK],
+    ways: readonly LinkWay[] = [LinkWay.TO_SIDECAR, LinkWay.TO_ENTRY],
   ): void {
     this.stalled.set(toKey(address), {ways, messages: []});
   }
@@ -98,10 +98,10 @@
     if (onLink === undefined || this.refused.has(key)) {
       throw new Error(`connection to ${key} refused`);
     }
-    const entryEnd = this.createEnd(key, LinkWay.THERE, () => sidecarEnd);
+    const entryEnd = this.createEnd(key, LinkWay.TO_SIDECAR, () => sidecarEnd);
     const sidecarEnd: MemoryLinkEnd = this.createEnd(
       key,
-      LinkWay.BACK,
+      LinkWay.TO_ENTRY,
       () => entryEnd,
     );
     this.pairs.push({key, ends: [entryEnd, sidecarEnd]});
@@ -144,7 +144,7 @@
         assertMessage(message);
         traffic.sentMessages++;
         this.deliverDelayed(key, way, () => other().deliver(message));
-        if (way !== LinkWay.BACK || !this.duplicated.has(key)) return;
+        if (way !== LinkWay.TO_ENTRY || !this.duplicated.has(key)) return;
         this.deliverDelayed(key, way, () => other().deliver(message));
       },
       receive: () => inbox,
--- a/packages/protocol/src/resumeToken.ts
+++ b/packages/protocol/src/resumeToken.ts
@@ -26,7 +26,7 @@
 }
 
 /** Formats the id of the event after which a caller has received `offset` tokens. */
-export function toEventId(streamTag: string, offset: number): string {
+export function formatEventId(streamTag: string, offset: number): string {
   return `${streamTag}.${offset}`;
 }
 
--- a/packages/relay/src/__tests__/suspensions.test.ts
+++ b/packages/relay/src/__tests__/suspensions.test.ts
@@ -2,7 +2,7 @@
   createRandom,
   SuspensionClock,
   VirtualClock,
-  VirtualMachine,
+  SimulatedInstance,
 } from '@lilacledge/shared';
 import type {Clock, Random} from '@lilacledge/shared';
 import {describe, expect, it} from 'vitest';
@@ -38,7 +38,7 @@
 /** An entry on an instance that can be suspended, and the clock outside of the instance. */
 interface SuspendableEntry {
   readonly world: VirtualClock;
-  readonly machine: VirtualMachine;
+  readonly machine: SimulatedInstance;
   readonly store: ScriptedStore;
   readonly view: EntryView;
 }
@@ -50,7 +50,7 @@
   createClock = createSuspensionClock,
 ): Promise<SuspendableEntry> {
   const world = new VirtualClock();
-  const machine = new VirtualMachine(world);
+  const machine = new SimulatedInstance(world);
   const store = new ScriptedStore(world);
   store.register('a', EndpointState.READY);
   const clock = createClock(machine);
@@ -67,18 +67,18 @@
 }
 
 /** Creates the clock that entries use. */
-function createSuspensionClock(machine: VirtualMachine): Clock {
+function createSuspensionClock(machine: SimulatedInstance): Clock {
   return new SuspensionClock(machine);
 }
 
 /** Delivers answers only while the instance runs; until then they wait in its sockets. */
 function awakePort(
   port: MetadataStore,
-  machine: VirtualMachine,
+  machine: SimulatedInstance,
 ): MetadataStore {
   const awake = async <T>(reply: Promise<T>): Promise<T> => {
     const value = await reply;
-    await machine.awake();
+    await machine.whenResumed();
     return value;
   };
   return {
@@ -98,7 +98,7 @@
   view.at(fromMs, () => machine.suspend());
   view.at(fromMs + forMs, () => {
     machine.wallErrorMs += stepMs;
-    machine.wake();
+    machine.resume();
   });
 }
 
--- a/packages/relay/src/requests/admissionQueue.ts
+++ b/packages/relay/src/requests/admissionQueue.ts
@@ -4,7 +4,7 @@
   RoomRequest,
   QueuePosition,
 } from '@lilacledge/policy';
-import {middleOfRange} from '@lilacledge/shared';
+import {alwaysHalf} from '@lilacledge/shared';
 import type {Clock, Random} from '@lilacledge/shared';
 import {ALL_ON} from '../switches.js';
 import type {Switches} from '../switches.js';
@@ -142,7 +142,7 @@
   private decide(question: RoomRequest): RoomDecision {
     const {waitForRoom, spreadReturns} = this.switches;
     const goalLeftMs = waitForRoom ? question.goalLeftMs : 0;
-    const random = spreadReturns ? this.random : middleOfRange;
+    const random = spreadReturns ? this.random : alwaysHalf;
     return decideRoom({...question, goalLeftMs}, random);
   }
 
--- a/packages/relay/src/requests/awaitView.ts
+++ b/packages/relay/src/requests/awaitView.ts
@@ -1,5 +1,5 @@
 import {decideWithoutConfig, decideWithoutEndpoint} from '@lilacledge/policy';
-import {middleOfRange, sleep} from '@lilacledge/shared';
+import {alwaysHalf, sleep} from '@lilacledge/shared';
 import type {Random} from '@lilacledge/shared';
 import type {ActiveConfig} from '../config/configKeeper.js';
 import type {RouteTable} from '../config/routeTable.js';
@@ -90,7 +90,7 @@
 
 /** Randomness that spreads the retries of refused callers over time. */
 export function retryAfterRandom({switches, random}: RelayContext): Random {
-  return switches.spreadReturns ? random : middleOfRange;
+  return switches.spreadReturns ? random : alwaysHalf;
 }
 
 function storeViewFacts(
--- a/packages/shared/src/__tests__/suspensionClock.test.ts
+++ b/packages/shared/src/__tests__/suspensionClock.test.ts
@@ -3,7 +3,7 @@
 import {SuspensionClock} from '../suspensionClock.js';
 import type {ClockGap} from '../suspensionClock.js';
 import {VirtualClock} from '../virtualClock.js';
-import {VirtualMachine} from '../virtualMachine.js';
+import {SimulatedInstance} from '../virtualMachine.js';
 
 /** Resolution of the boot clock, with the time between two readings. */
 const RESOLUTION_MS = 20;
@@ -15,13 +15,13 @@
 const READ_INTERVAL_MS = 50;
 
 let outerClock: VirtualClock;
-let instance: VirtualMachine;
+let instance: SimulatedInstance;
 let clock: SuspensionClock;
 let gaps: ClockGap[];
 
 beforeEach(async () => {
   outerClock = new VirtualClock();
-  instance = new VirtualMachine(outerClock);
+  instance = new SimulatedInstance(outerClock);
   clock = new SuspensionClock(instance);
   gaps = [];
   clock.onGap((gap) => gaps.push(gap));
@@ -43,7 +43,7 @@
   instance.suspend();
   await outerClock.advance(durationMs);
   instance.wallErrorMs += stepMs;
-  instance.wake();
+  instance.resume();
 }
 
 describe('SuspensionClock after a suspension', () => {
--- a/packages/shared/src/failure.ts
+++ b/packages/shared/src/failure.ts
@@ -9,7 +9,7 @@
   KEY_MISSING: 'keyMissing',
   KEY_REUSED: 'keyReused',
   KEY_UNDECIDABLE: 'keyUndecidable',
-  KEY_HOME_UNAVAILABLE: 'keyHomeUnavailable',
+  KEY_OWNER_UNAVAILABLE: 'keyHomeUnavailable',
   KEY_FROM_FUTURE: 'keyFromFuture',
   LIMIT_REACHED: 'limitReached',
   OVERLOADED: 'overloaded',
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -15,11 +15,11 @@
 } from './failure.js';
 export type {Failure} from './failure.js';
 export {mintTimeMs, toMintedKey} from './mintedKey.js';
-export {createRandom, hash32, middleOfRange, rendezvous} from './random.js';
+export {createRandom, hash32, alwaysHalf, rendezvous} from './random.js';
 export type {Random} from './random.js';
 export {SuspensionClock} from './suspensionClock.js';
 export type {ClockGap, TimeSources} from './suspensionClock.js';
 export {systemClock} from './systemClock.js';
 export {isVerdict, Verdict} from './verdict.js';
 export {VirtualClock} from './virtualClock.js';
-export {VirtualMachine} from './virtualMachine.js';
+export {SimulatedInstance} from './virtualMachine.js';
--- a/packages/shared/src/random.ts
+++ b/packages/shared/src/random.ts
@@ -2,7 +2,7 @@
 export type Random = () => number;
 
 /** Always the middle of the range, for callers that switch randomness off. */
-export const middleOfRange: Random = () => 0.5;
+export const alwaysHalf: Random = () => 0.5;
 
 /** A seeded generator (mulberry32): the same seed gives the same numbers. */
 export function createRandom(seed: number): Random {
--- a/packages/shared/src/virtualMachine.ts
+++ b/packages/shared/src/virtualMachine.ts
@@ -11,7 +11,7 @@
  * Time sources of a simulated instance that can be suspended, for tests. The time outside
  * the instance is that of the given clock, which goes on during a suspension.
  */
-export class VirtualMachine implements TimeSources {
+export class SimulatedInstance implements TimeSources {
   /** How far the wall clock of the instance is wrong. */
   wallErrorMs = 0;
   /** False if the boot clock can't be read. */
@@ -66,7 +66,7 @@
   }
 
   /** Ends the suspension and runs what was deferred, in the order of its arrival. */
-  wake(): void {
+  resume(): void {
     if (this.suspendedAtMs === undefined) return;
     this.suspendedMs += this.clock.nowMs() - this.suspendedAtMs;
     this.suspendedAtMs = undefined;
@@ -76,7 +76,7 @@
   }
 
   /** Resolves at once, or after the suspension, as data that waits in a socket does. */
-  awake(): Promise<void> {
+  whenResumed(): Promise<void> {
     if (!this.isSuspended) return Promise.resolve();
     return new Promise((resolve) => this.deferred.push(resolve));
   }
--- a/packages/sidecar/src/callService.ts
+++ b/packages/sidecar/src/callService.ts
@@ -70,7 +70,7 @@
       );
       return {kind: 'failed', failure};
     }
-    const span = this.ports.tracer.startHop(
+    const span = this.ports.tracer.startRequestSpan(
       'sidecar.call',
       message.traceparent,
     );
--- a/packages/sidecar/src/createSidecar.ts
+++ b/packages/sidecar/src/createSidecar.ts
@@ -1,6 +1,10 @@
 import {randomBytes} from 'node:crypto';
 import type {SidecarSettings} from '@lilacledge/config';
-import {ConfigCache, greetEntry, SidecarState} from '@lilacledge/protocol';
+import {
+  ConfigCache,
+  authenticateEntry,
+  SidecarState,
+} from '@lilacledge/protocol';
 import type {
   ConfigTransfer,
   Link,
@@ -113,7 +117,7 @@
       service: settings.service,
       zone: settings.zone,
     };
-    const handshake = await greetEntry(link, identity, settings.linkKey);
+    const handshake = await authenticateEntry(link, identity, settings.linkKey);
     if (!handshake.ok) {
       refuseLink(link, handshake.detail);
       return;
--- a/packages/sidecar/src/generationService.ts
+++ b/packages/sidecar/src/generationService.ts
@@ -133,7 +133,10 @@
 
   private async run(generation: Generation, priority: number): Promise<void> {
     const {requestId, traceparent} = generation.request;
-    const span = this.ports.tracer.startHop('sidecar.generate', traceparent);
+    const span = this.ports.tracer.startRequestSpan(
+      'sidecar.generate',
+      traceparent,
+    );
     span.event('admitted', {requestId, generationId: generation.id});
     const settings = {
       clock: this.ports.clock,
--- a/packages/sidecar/src/runGeneration.ts
+++ b/packages/sidecar/src/runGeneration.ts
@@ -1,6 +1,6 @@
 import {FailureKind, mayHaveRun, notRun, Verdict} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
-import type {HopSpan} from '@lilacledge/telemetry';
+import type {RequestSpan} from '@lilacledge/telemetry';
 import type {Generation} from './generation.js';
 import {EndpointError} from './ports/endpointError.js';
 import type {EnginePort} from './ports/enginePort.js';
@@ -34,7 +34,7 @@
   generation: Generation,
   settings: RunSettings,
   observer: RunObserver,
-  span: HopSpan,
+  span: RequestSpan,
 ): Promise<void> {
   const {model, prompt, promptTokens, maxTokens} = generation.request;
   const {priority} = settings;
--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -5,4 +5,4 @@
 export {createMetrics} from './metrics.js';
 export type {MetricsRegistry} from './metrics.js';
 export {createTracer, silentTracer} from './tracing.js';
-export type {HopSpan, Tracer} from './tracer.js';
+export type {RequestSpan, Tracer} from './tracer.js';
--- a/packages/telemetry/src/otlpTracer.ts
+++ b/packages/telemetry/src/otlpTracer.ts
@@ -31,7 +31,7 @@
   });
   const tracer = provider.getTracer('lilacledge');
   return {
-    startHop(name, traceparent) {
+    startRequestSpan(name, traceparent) {
       const parent = parseTraceparent(traceparent);
       const activeContext = context.active();
       const parentContext =
--- a/packages/telemetry/src/tracer.ts
+++ b/packages/telemetry/src/tracer.ts
@@ -1,5 +1,5 @@
 /** Span of a request in one process. */
-export interface HopSpan {
+export interface RequestSpan {
   /** W3C trace context to be passed to the next process. */
   readonly traceparent: string;
   /** Records a decision with its details, such as the choice of an endpoint. */
@@ -9,7 +9,7 @@
 
 export interface Tracer {
   /** Starts a span with the parent `traceparent`, or a new trace if that is empty. */
-  startHop(name: string, traceparent: string): HopSpan;
+  startRequestSpan(name: string, traceparent: string): RequestSpan;
   /** Exports the remaining spans and stops. */
   shutdown(): Promise<void>;
 }
--- a/packages/telemetry/src/tracing.ts
+++ b/packages/telemetry/src/tracing.ts
@@ -13,7 +13,7 @@
 
 /** Records no spans, but passes on an incoming trace context. */
 export const silentTracer: Tracer = {
-  startHop: (_name, traceparent) => ({
+  startRequestSpan: (_name, traceparent) => ({
     traceparent,
     event: () => {},
     end: () => {},
