--- a/packages-private/soak/src/__tests__/goneLedger.test.ts
+++ b/packages-private/soak/src/__tests__/goneLedger.test.ts
@@ -1,13 +1,13 @@
 import {beforeEach, describe, expect, it} from 'vitest';
-import {GoneLedger} from '../goneLedger.js';
+import {DisconnectLedger} from '../goneLedger.js';
 
 const LEFT_MS = 1_000;
 
-let ledger: GoneLedger;
+let ledger: DisconnectLedger;
 let nextId: number;
 
 beforeEach(() => {
-  ledger = new GoneLedger();
+  ledger = new DisconnectLedger();
   nextId = 0;
 });
 
--- a/packages-private/soak/src/__tests__/ledger.test.ts
+++ b/packages-private/soak/src/__tests__/ledger.test.ts
@@ -1,7 +1,7 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import type {RecordedRun} from '@lilacledge/platform-standins';
 import {Ledger} from '../ledger.js';
-import {AskKind} from '../soakEvent.js';
+import {RequestKind} from '../soakEvent.js';
 import type {Attempt} from '../soakEvent.js';
 
 let ledger: Ledger;
@@ -23,7 +23,7 @@
   });
 }
 
-function attempt(kind: AskKind, changes: Partial<Attempt> = {}): void {
+function attempt(kind: RequestKind, changes: Partial<Attempt> = {}): void {
   ledger.note({type: 'sent', atMs: 0, requestId: 'r1', kind: kind});
   ledger.note({
     type: 'attempt',
@@ -47,14 +47,14 @@
 
 describe('Ledger', () => {
   it('accepts what keeps the promises', () => {
-    attempt(AskKind.DRAFT, {body: events(1, 2)});
+    attempt(RequestKind.DRAFT, {body: events(1, 2)});
     run('r1');
     run('r1', {isContinued: true});
     expect(ledger.violations()).toEqual([]);
   });
 
   it('accepts a draft that was visibly cut off', () => {
-    attempt(AskKind.DRAFT, {body: events(1), isComplete: false});
+    attempt(RequestKind.DRAFT, {body: events(1), isComplete: false});
     expect(ledger.violations()).toEqual([]);
   });
 
@@ -67,17 +67,22 @@
       'id: 1\ndata: r9 1\n\nid: 2\ndata: r1 2\n\n',
     ],
   ])('reports %s in a draft', (_what, body) => {
-    attempt(AskKind.DRAFT, {body});
+    attempt(RequestKind.DRAFT, {body});
     expect(ledger.violations()).toHaveLength(1);
   });
 
   it('reports a booking that ran twice, but not a look-up', () => {
-    attempt(AskKind.BOOKING, {body: 'answer of e-1 to r1'});
+    attempt(RequestKind.BOOKING, {body: 'answer of e-1 to r1'});
     run('r1');
     run('r1');
     expect(ledger.violations()).toEqual(['booking r1 ran 2 times']);
     const other = new Ledger();
-    other.note({type: 'sent', atMs: 0, requestId: 'r1', kind: AskKind.LOOKUP});
+    other.note({
+      type: 'sent',
+      atMs: 0,
+      requestId: 'r1',
+      kind: RequestKind.LOOKUP,
+    });
     ledger = other;
     run('r1');
     run('r1');
@@ -85,20 +90,25 @@
   });
 
   it('reports a look-up that ran more often than its route allows', () => {
-    ledger.note({type: 'sent', atMs: 0, requestId: 'r1', kind: AskKind.LOOKUP});
+    ledger.note({
+      type: 'sent',
+      atMs: 0,
+      requestId: 'r1',
+      kind: RequestKind.LOOKUP,
+    });
     for (let count = 0; count < 3; count++) run('r1');
     expect(ledger.violations()).toEqual(['lookup r1 ran 3 times']);
   });
 
   it('reports a refusal of a request that has run', () => {
-    attempt(AskKind.BOOKING, {status: 503, body: ''});
+    attempt(RequestKind.BOOKING, {status: 503, body: ''});
     expect(ledger.violations()).toEqual([]);
     run('r1');
     expect(ledger.violations()).toHaveLength(1);
   });
 
   it('reports an answer that belongs to another request', () => {
-    attempt(AskKind.BOOKING, {body: 'answer of e-1 to r2'});
+    attempt(RequestKind.BOOKING, {body: 'answer of e-1 to r2'});
     expect(ledger.violations()).toHaveLength(1);
   });
 
@@ -108,7 +118,7 @@
   });
 
   it('reports an API key or a wrong organisation at an endpoint', () => {
-    attempt(AskKind.BOOKING, {body: 'answer of e-1 to r1'});
+    attempt(RequestKind.BOOKING, {body: 'answer of e-1 to r1'});
     run('r1', {hasKey: true, organisation: 'other'});
     expect(ledger.violations()).toHaveLength(2);
   });
@@ -116,7 +126,7 @@
   describe('a run at an endpoint that left', () => {
     beforeEach(() => {
       ledger.leaves.noteLeft('e-1', 10_000);
-      attempt(AskKind.BOOKING, {body: 'answer of e-1 to r1'});
+      attempt(RequestKind.BOOKING, {body: 'answer of e-1 to r1'});
     });
 
     it('is too late after the bound', () => {
@@ -133,7 +143,10 @@
       ledger.leaves.noteBack('e-1', 13_000);
       run('r1', {atMs: 13_400});
       expect(ledger.violations()).toEqual([]);
-      attempt(AskKind.BOOKING, {requestId: 'r2', body: 'answer of e-1 to r2'});
+      attempt(RequestKind.BOOKING, {
+        requestId: 'r2',
+        body: 'answer of e-1 to r2',
+      });
       run('r2', {atMs: 12_900});
       expect(ledger.violations()).toHaveLength(1);
     });
--- a/packages-private/soak/src/bulkFaults.ts
+++ b/packages-private/soak/src/bulkFaults.ts
@@ -10,13 +10,16 @@
 }
 
 /** A small configuration over links of unlimited throughput. */
-export const NO_BULK: BulkSettings = {
+export const SMALL_CONFIG: BulkSettings = {
   unusedRoutes: 0,
   bytesPerMs: Number.POSITIVE_INFINITY,
 };
 
 /** A configuration of about 340 kB over the slowest links, of 10 Mbit/s. */
-export const BULK: BulkSettings = {unusedRoutes: 1_400, bytesPerMs: 1_250};
+export const LARGE_CONFIG: BulkSettings = {
+  unusedRoutes: 1_400,
+  bytesPerMs: 1_250,
+};
 
 /** Time between two versions of the configuration. */
 const VERSION_INTERVAL_MS = 330;
--- a/packages-private/soak/src/cutByStop.ts
+++ b/packages-private/soak/src/cutByStop.ts
@@ -1,5 +1,5 @@
 import {ROUTE_TIMEOUT_MS} from './ledger.js';
-import {AskKind} from './soakEvent.js';
+import {RequestKind} from './soakEvent.js';
 import type {Attempt} from './soakEvent.js';
 import {GRACE_S} from './soakFleet.js';
 
@@ -27,7 +27,7 @@
   const {kind, sentAtMs, endedAtMs} = attempt;
   const lastSixthMs = stoppedAtMs + GRACE_S * 1_000 * (5 / 6);
   return (
-    kind === AskKind.DRAFT &&
+    kind === RequestKind.DRAFT &&
     sentAtMs <= stoppedAtMs + MAX_ACCEPT_AFTER_STOP_MS &&
     endedAtMs >= lastSixthMs
   );
--- a/packages-private/soak/src/goneLedger.ts
+++ b/packages-private/soak/src/goneLedger.ts
@@ -18,7 +18,7 @@
 }
 
 /** Checks the work that endpoints do for callers that have disconnected. */
-export class GoneLedger {
+export class DisconnectLedger {
   private readonly leftAtMs = new Map<string, number>();
   private readonly work = new Map<string, Work[]>();
   private readonly disturbed = new Disturbances();
--- a/packages-private/soak/src/ledger.ts
+++ b/packages-private/soak/src/ledger.ts
@@ -4,25 +4,25 @@
 import {DeadlineLedger} from './deadlineLedger.js';
 import {DeadlyLedger} from './deadlyLedger.js';
 import {DenialLedger} from './denialLedger.js';
-import {GoneLedger} from './goneLedger.js';
+import {DisconnectLedger} from './goneLedger.js';
 import {LeaveLedger} from './leaveLedger.js';
 import {LimitLedger} from './limitLedger.js';
 import {RepeatLedger} from './repeatLedger.js';
 import {RestLedger} from './restLedger.js';
 import {SaidLeaveLedger} from './saidLeaveLedger.js';
-import {AskKind, SoakEventError, SoakService} from './soakEvent.js';
+import {RequestKind, SoakEventError, SoakService} from './soakEvent.js';
 import type {Attempt, SoakEvent} from './soakEvent.js';
 import {EVACUATE_MS} from './zoneFaults.js';
 
 /** How often a request may be started, by the configuration of its route. */
-const MAX_RUNS: Readonly<Record<AskKind, number>> = {
+const MAX_RUNS: Readonly<Record<RequestKind, number>> = {
   draft: 1,
   booking: 1,
   lookup: 2,
 };
 
 /** Timeouts of the routes, or the callers' own timeout where that is shorter. */
-export const ROUTE_TIMEOUT_MS: Readonly<Record<AskKind, number>> = {
+export const ROUTE_TIMEOUT_MS: Readonly<Record<RequestKind, number>> = {
   draft: USUAL_DEADLINE_MS,
   booking: 2_000,
   lookup: 2_000,
@@ -49,7 +49,7 @@
   readonly repeats = new RepeatLedger();
   readonly deadlines = new DeadlineLedger();
   readonly denials = new DenialLedger();
-  readonly gone = new GoneLedger();
+  readonly gone = new DisconnectLedger();
   readonly limits = new LimitLedger();
   readonly saidLeaves = new SaidLeaveLedger();
   readonly rests = new RestLedger();
@@ -61,7 +61,7 @@
   /** Zone by endpoint id. */
   private readonly zones = new Map<string, string>();
   /** Kinds of the requests that callers sent, by id. */
-  private readonly sent = new Map<string, AskKind>();
+  private readonly sent = new Map<string, RequestKind>();
   private readonly runs = new Map<string, RecordedRun[]>();
   /** When each endpoint last began a run, by id. */
   private readonly lastRunAtMs = new Map<string, number>();
@@ -152,14 +152,14 @@
     this.gone.noteDisturbed(fromMs, untilMs);
   }
 
-  private noteSent(requestId: string, kind: AskKind, atMs: number): void {
+  private noteSent(requestId: string, kind: RequestKind, atMs: number): void {
     const known = this.sent.get(requestId);
     if (known !== undefined && known !== kind) {
       throw new SoakEventError(`${requestId} was sent as ${known} and ${kind}`);
     }
     this.sent.set(requestId, kind);
     const service =
-      kind === AskKind.DRAFT ? SoakService.DRAFTS : SoakService.BOOKINGS;
+      kind === RequestKind.DRAFT ? SoakService.DRAFTS : SoakService.BOOKINGS;
     this.repeats.noteRequest(service, atMs);
     this.deadlines.noteSent(requestId, USUAL_DEADLINE_MS);
   }
@@ -249,12 +249,12 @@
     const report = (text: string): void => {
       found.push(`${kind} ${requestId} at ${attempt.entry}: ${text}`);
     };
-    if (NOT_RUN_STATUSES.has(status) && kind !== AskKind.LOOKUP) {
+    if (NOT_RUN_STATUSES.has(status) && kind !== RequestKind.LOOKUP) {
       if (this.runs.has(requestId)) report(`answered ${status} and has run`);
     }
     if (status !== 200) return found;
     if (attempt.signature === undefined) report('a success without signature');
-    if (kind === AskKind.DRAFT) {
+    if (kind === RequestKind.DRAFT) {
       const problem = findStreamProblem(attempt);
       if (problem !== undefined) report(problem);
     } else if (isComplete && !hasExpectedBody(attempt)) {
--- a/packages-private/soak/src/ownEnd.ts
+++ b/packages-private/soak/src/ownEnd.ts
@@ -1,5 +1,5 @@
 /** The exit of a program that the soak had not requested. */
-export interface ProgramEnd {
+export interface ProgramExit {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
   /** Time since the program's start. */
@@ -17,7 +17,7 @@
  * True when a signal of the soak ended the program within a second of its restart: Node.js handles
  * no signals before it runs a program, so even a reload signal ends it then.
  */
-export function isBroughtAbout(end: ProgramEnd): boolean {
+export function isCausedBySoak(end: ProgramExit): boolean {
   const {signal, ageMs, isRestart, sent} = end;
   return (
     signal !== null && sent.has(signal) && isRestart && ageMs < DISRUPTION_MS
@@ -25,9 +25,9 @@
 }
 
 /** Describes an unexpected exit in one line. */
-export function describeEnd(
+export function describeExit(
   name: string,
-  {code, signal, ageMs}: ProgramEnd,
+  {code, signal, ageMs}: ProgramExit,
 ): string {
   const cause = signal ?? `code ${code}`;
   return `${name} ended by itself: ${cause}, ${Math.round(ageMs)} ms after its start`;
--- a/packages-private/soak/src/program.ts
+++ b/packages-private/soak/src/program.ts
@@ -7,7 +7,7 @@
 import {nodeSettingsText} from '@lilacledge/platform-standins';
 import type {StandinNode} from '@lilacledge/platform-standins';
 import {systemClock} from '@lilacledge/shared';
-import {describeEnd, isBroughtAbout} from './ownEnd.js';
+import {describeExit, isCausedBySoak} from './ownEnd.js';
 
 const BUNDLE_PATH = fileURLToPath(
   new URL('../../../target/lilacledged.cjs', import.meta.url),
@@ -121,6 +121,6 @@
     const {isRestart, sent, startedAtMs} = this;
     const ageMs = systemClock.nowMs() - startedAtMs;
     const end = {code, signal, ageMs, isRestart, sent};
-    if (!isBroughtAbout(end)) this.onOwnEnd(describeEnd(this.node.name, end));
+    if (!isCausedBySoak(end)) this.onOwnEnd(describeExit(this.node.name, end));
   }
 }
--- a/packages-private/soak/src/runSoak.ts
+++ b/packages-private/soak/src/runSoak.ts
@@ -4,7 +4,7 @@
 import {waitForOk} from '@lilacledge/localstack';
 import {createRandom, sleep, systemClock} from '@lilacledge/shared';
 import {planAnswerFaults} from './answerFaults.js';
-import {BULK, NO_BULK, planBulkFaults} from './bulkFaults.js';
+import {LARGE_CONFIG, SMALL_CONFIG, planBulkFaults} from './bulkFaults.js';
 import {isCutByStop} from './cutByStop.js';
 import {planFailingFaults} from './failingFaults.js';
 import {planFaults} from './faultPlan.js';
@@ -121,7 +121,7 @@
     ledger,
     folder,
     ports,
-    options.hasLargeConfig === true ? BULK : NO_BULK,
+    options.hasLargeConfig === true ? LARGE_CONFIG : SMALL_CONFIG,
   );
   const random = createRandom(options.seed + 1);
   const load = new SoakLoad(
--- a/packages-private/soak/src/soakEvent.ts
+++ b/packages-private/soak/src/soakEvent.ts
@@ -1,12 +1,12 @@
 import type {RecordedRun} from '@lilacledge/platform-standins';
 
 /** Kinds of requests: a streamed draft, a booking that may run once, an idempotent look-up. */
-export const AskKind = {
+export const RequestKind = {
   DRAFT: 'draft',
   BOOKING: 'booking',
   LOOKUP: 'lookup',
 } as const;
-export type AskKind = (typeof AskKind)[keyof typeof AskKind];
+export type RequestKind = (typeof RequestKind)[keyof typeof RequestKind];
 
 /** The services of the configuration. */
 export const SoakService = {DRAFTS: 'drafts', BOOKINGS: 'bookings'} as const;
@@ -15,7 +15,7 @@
 /** One attempt of a request, as its caller saw it. */
 export interface Attempt {
   readonly requestId: string;
-  readonly kind: AskKind;
+  readonly kind: RequestKind;
   readonly entry: string;
   readonly sentAtMs: number;
   readonly endedAtMs: number;
@@ -45,7 +45,7 @@
       readonly type: 'sent';
       readonly atMs: number;
       readonly requestId: string;
-      readonly kind: AskKind;
+      readonly kind: RequestKind;
       /** The entry that it is sent to. */
       readonly entry?: string;
     }
@@ -168,7 +168,7 @@
 
 /** The allowed values of fields that hold an enumeration. */
 const ALLOWED_VALUES: Readonly<Record<string, ReadonlySet<unknown>>> = {
-  kind: new Set(Object.values(AskKind)),
+  kind: new Set(Object.values(RequestKind)),
   service: new Set(Object.values(SoakService)),
 };
 
--- a/packages-private/soak/src/soakFleet.ts
+++ b/packages-private/soak/src/soakFleet.ts
@@ -6,7 +6,7 @@
 } from '@lilacledge/platform-standins';
 import type {StandinNode} from '@lilacledge/platform-standins';
 import {assertNever, sleep, systemClock} from '@lilacledge/shared';
-import {NO_BULK} from './bulkFaults.js';
+import {SMALL_CONFIG} from './bulkFaults.js';
 import type {BulkSettings} from './bulkFaults.js';
 import {EngineHost, ServiceHost} from './endpointPlaces.js';
 import type {EndpointRestart, HostSettings} from './endpointPlaces.js';
@@ -71,7 +71,7 @@
     ledger: Ledger,
     folder: string,
     ports: PortRange,
-    bulk: BulkSettings = NO_BULK,
+    bulk: BulkSettings = SMALL_CONFIG,
   ): Promise<SoakFleet> {
     const storePort = await ports.take();
     const fleet = new SoakFleet(ports, storePort, folder, ledger, bulk, shape);
--- a/packages-private/soak/src/soakLoad.ts
+++ b/packages-private/soak/src/soakLoad.ts
@@ -5,7 +5,7 @@
 import type {Random} from '@lilacledge/shared';
 import {DEADLY_BODY} from './deadlyLedger.js';
 import type {Ledger} from './ledger.js';
-import {AskKind} from './soakEvent.js';
+import {RequestKind} from './soakEvent.js';
 import type {SoakEntry, SoakFleet} from './soakFleet.js';
 
 const CALLERS_PER_ENTRY = 6;
@@ -83,7 +83,7 @@
     agent.destroy();
   }
 
-  private noteSent(requestId: string, kind: AskKind, to: SoakEntry): void {
+  private noteSent(requestId: string, kind: RequestKind, to: SoakEntry): void {
     const atMs = systemClock.nowMs();
     const entry = to.program.node.name;
     this.ledger.note({type: 'sent', atMs, requestId, kind, entry});
@@ -103,10 +103,10 @@
     const id = `${this.prefix}-${this.nextId++}`;
     const kind =
       drawn < 0.5
-        ? AskKind.DRAFT
+        ? RequestKind.DRAFT
         : drawn < 0.75
-          ? AskKind.BOOKING
-          : AskKind.LOOKUP;
+          ? RequestKind.BOOKING
+          : RequestKind.LOOKUP;
     const events = 1 + Math.floor(this.random() ** 2 * MAX_EVENTS);
     const sentAtMs = systemClock.nowMs();
     this.noteSent(id, kind, entry);
@@ -131,21 +131,21 @@
     entry: SoakEntry,
     agent: Agent,
     id: string,
-    kind: AskKind,
+    kind: RequestKind,
     events: number,
   ): Promise<ClientAnswer> {
     const signal = AbortSignal.timeout(CALLER_TIMEOUT_MS);
     const common = {id, agent, signal};
     switch (kind) {
-      case AskKind.DRAFT:
+      case RequestKind.DRAFT:
         return ask(entry.url, '/draft/', {
           ...common,
           body: 'prompt',
           headers: draftHeaders(events),
         });
-      case AskKind.BOOKING:
+      case RequestKind.BOOKING:
         return ask(entry.url, '/book/', {...common, body: 'drum 7'});
-      case AskKind.LOOKUP:
+      case RequestKind.LOOKUP:
         return ask(entry.url, '/look/', common);
     }
   }
@@ -155,7 +155,7 @@
     while (!this.areCrashingRequestsStopped) {
       const id = `${this.prefix}-deadly-${this.nextId++}`;
       const entry = this.drawEntry();
-      this.noteSent(id, AskKind.DRAFT, entry);
+      this.noteSent(id, RequestKind.DRAFT, entry);
       await ask(entry.url, '/draft/', {
         id,
         body: DEADLY_BODY,
@@ -173,7 +173,7 @@
       const leavesAfterMs = Math.round(random() * MAX_STAY_MS);
       const {entries} = this.fleet;
       const entry = entries[Math.floor(random() * entries.length)]!;
-      this.noteSent(id, AskKind.DRAFT, entry);
+      this.noteSent(id, RequestKind.DRAFT, entry);
       const answer = await ask(entry.url, '/draft/', {
         id,
         body: 'prompt',
@@ -215,7 +215,7 @@
   /** True when an entry serves a path that only this configuration version has. */
   async serves(entry: SoakEntry, version: number): Promise<boolean> {
     const id = `${this.prefix}-probe-${this.nextId++}`;
-    this.noteSent(id, AskKind.LOOKUP, entry);
+    this.noteSent(id, RequestKind.LOOKUP, entry);
     const answer = await ask(entry.url, probePath(version), {
       id,
       headers: {},
