--- a/packages-private/soak/src/disturbances.ts
+++ b/packages-private/soak/src/disturbances.ts
@@ -12,7 +12,7 @@
   }
 
   /** True when one of the intervals overlaps the given one. */
-  meets(fromMs: number, untilMs: number): boolean {
+  overlaps(fromMs: number, untilMs: number): boolean {
     return this.intervals.some(
       (interval) => interval.fromMs <= untilMs && fromMs <= interval.untilMs,
     );
--- a/packages-private/soak/src/goneLedger.ts
+++ b/packages-private/soak/src/goneLedger.ts
@@ -81,7 +81,7 @@
   private judged(): Array<{beganAfterMs: number; endedAfterMs: number}> {
     return [...this.leftAtMs].flatMap(([requestId, leftAtMs]) => {
       const soonMs = leftAtMs + MAX_WORK_AFTER_LEAVE_MS;
-      if (this.disturbed.meets(leftAtMs, soonMs)) return [];
+      if (this.disturbed.overlaps(leftAtMs, soonMs)) return [];
       return (this.work.get(requestId) ?? [])
         .filter(({endedAtMs}) => endedAtMs > leftAtMs)
         .filter(({endedAtMs, isDone}) => !isDone || endedAtMs > soonMs)
--- a/packages-private/soak/src/leaveLedger.ts
+++ b/packages-private/soak/src/leaveLedger.ts
@@ -54,7 +54,7 @@
     const {leftAtMs} = leave;
     const afterMs = atMs - leftAtMs;
     if (afterMs <= this.boundMs + CPU_WAIT_MS) return undefined;
-    const isExcused = this.disturbed.meets(leftAtMs, atMs);
+    const isExcused = this.disturbed.overlaps(leftAtMs, atMs);
     return isExcused ? undefined : Math.round(afterMs);
   }
 }
