--- a/packages-private/soak/src/endpointPlaces.ts
+++ b/packages-private/soak/src/endpointPlaces.ts
@@ -1,11 +1,11 @@
 import {
-  answerSigned,
-  eventsOf,
+  sendSignedAnswer,
+  eventCountOf,
   FakeEngine,
   FakeService,
 } from '@lilacledge/platform-standins';
 import type {
-  AnswerStatements,
+  AnswerAnnouncements,
   ArrivalListener,
   EngineFleet,
   FakeStore,
@@ -38,7 +38,7 @@
   readonly id: string;
   readonly port: number;
   sheds: () => boolean;
-  statements: () => AnswerStatements;
+  announcements: () => AnswerAnnouncements;
   onArrival: ArrivalListener;
   registration(service: string, zone: string, state?: string): unknown;
 }
@@ -69,7 +69,7 @@
   shedShare = 0;
   protected current: T | undefined;
   /** State that the endpoint announces in its answers; the last one applies. */
-  private announcements: AnswerStatements[] = [];
+  private announcements: AnswerAnnouncements[] = [];
   /** True once this incarnation announces in its answers that it leaves. */
   private saysLeaving = false;
   private startCount = 0;
@@ -110,10 +110,10 @@
     const port = await this.settings.ports.take();
     const current = this.create(id, port);
     current.sheds = () =>
-      this.activeAnnouncement.rest !== undefined ||
+      this.activeAnnouncement.retryAfter !== undefined ||
       Math.random() < this.shedShare;
     this.saysLeaving = false;
-    current.statements = () => this.activeAnnouncement;
+    current.announcements = () => this.activeAnnouncement;
     current.onArrival = (requestId, timeLeftMs) => {
       const {service} = this;
       const atMs = systemClock.nowMs();
@@ -142,7 +142,7 @@
       : lastRestart;
   }
 
-  private get activeAnnouncement(): AnswerStatements {
+  private get activeAnnouncement(): AnswerAnnouncements {
     const leaving = this.saysLeaving ? '1' : undefined;
     return {...this.announcements.at(-1), leaving};
   }
@@ -155,7 +155,7 @@
   }
 
   /** Announces state in answers from now on; the result ends the announcement. */
-  startAnnouncing(announcement: AnswerStatements): () => void {
+  startAnnouncing(announcement: AnswerAnnouncements): () => void {
     this.announcements = [...this.announcements, announcement];
     return () => {
       this.announcements = this.announcements.filter(
@@ -295,7 +295,7 @@
       id,
       port,
       this.fleet,
-      ({headers}) => eventsOf(headers),
+      ({headers}) => eventCountOf(headers),
       this.noteRun,
       this.publicPort,
     );
@@ -303,8 +303,8 @@
       const atMs = systemClock.nowMs();
       this.settings.note({type: 'runEnded', atMs, requestId, isDone});
     };
-    engine.diesOf = ({body}) => body === DEADLY_BODY;
-    engine.onEnd = (cause) => {
+    engine.crashesOn = ({body}) => body === DEADLY_BODY;
+    engine.onCrash = (cause) => {
       if (cause === undefined) return;
       this.settings.note({type: 'deadlyEnd', atMs: systemClock.nowMs()});
       void this.crash();
@@ -313,7 +313,7 @@
   }
 
   protected override registerAsDraining(): void {
-    this.current?.leaveIn(LEAVE_NOTICE_MS);
+    this.current?.announceLeave(LEAVE_NOTICE_MS);
     super.registerAsDraining();
   }
 
@@ -333,7 +333,7 @@
     if (service === undefined) return;
     service.answer = (seen, response) => {
       const fails = isFailing && Math.random() < FAILURE_SHARE;
-      answerSigned(service.id, seen, response, fails ? 500 : 200);
+      sendSignedAnswer(service.id, seen, response, fails ? 500 : 200);
     };
   }
 
@@ -346,10 +346,10 @@
   }
 }
 
-function parseLimitPerS({limit}: AnswerStatements): number | undefined {
+function parseLimitPerS({limit}: AnswerAnnouncements): number | undefined {
   return limit === undefined ? undefined : Number(limit);
 }
 
-function parseBackoffMs({rest}: AnswerStatements): number | undefined {
-  return rest === undefined ? undefined : Number(rest) * 1_000;
+function parseBackoffMs({retryAfter}: AnswerAnnouncements): number | undefined {
+  return retryAfter === undefined ? undefined : Number(retryAfter) * 1_000;
 }
--- a/packages-private/soak/src/ledger.ts
+++ b/packages-private/soak/src/ledger.ts
@@ -1,4 +1,4 @@
-import {ORGANISATION, USUAL_DEADLINE_MS} from '@lilacledge/platform-standins';
+import {ORGANISATION, DEFAULT_DEADLINE_MS} from '@lilacledge/platform-standins';
 import type {RecordedRun} from '@lilacledge/platform-standins';
 import {assertNever} from '@lilacledge/shared';
 import {DeadlineLedger} from './deadlineLedger.js';
@@ -23,7 +23,7 @@
 
 /** Timeouts of the routes, or the callers' own timeout where that is shorter. */
 export const ROUTE_TIMEOUT_MS: Readonly<Record<RequestKind, number>> = {
-  draft: USUAL_DEADLINE_MS,
+  draft: DEFAULT_DEADLINE_MS,
   booking: 2_000,
   lookup: 2_000,
 };
@@ -161,7 +161,7 @@
     const service =
       kind === RequestKind.DRAFT ? SoakService.DRAFTS : SoakService.BOOKINGS;
     this.repeats.noteRequest(service, atMs);
-    this.deadlines.noteSent(requestId, USUAL_DEADLINE_MS);
+    this.deadlines.noteSent(requestId, DEFAULT_DEADLINE_MS);
   }
 
   private noteArrival(event: Extract<SoakEvent, {type: 'arrived'}>): void {
--- a/packages-private/soak/src/program.ts
+++ b/packages-private/soak/src/program.ts
@@ -5,7 +5,7 @@
 import {join} from 'node:path';
 import {fileURLToPath} from 'node:url';
 import {nodeSettingsText} from '@lilacledge/platform-standins';
-import type {StandinNode} from '@lilacledge/platform-standins';
+import type {TestNodeSettings} from '@lilacledge/platform-standins';
 import {systemClock} from '@lilacledge/shared';
 import {describeExit, isCausedBySoak} from './ownEnd.js';
 
@@ -35,7 +35,7 @@
 
   constructor(
     readonly role: 'entry' | 'sidecar',
-    readonly node: StandinNode,
+    readonly node: TestNodeSettings,
     folder: string,
     /** Called when the program ends without having been told to. */
     private readonly onOwnEnd: (end: string) => void,
@@ -53,7 +53,7 @@
   }
 
   /** Writes the settings file; only the first start counts as that of the deployment. */
-  writeSettings(node: StandinNode): void {
+  writeSettings(node: TestNodeSettings): void {
     const isFirstStart = node.isFirstStart && this.incarnation === 0;
     const text = nodeSettingsText({...node, isFirstStart});
     writeFileSync(this.settingsPath, text);
--- a/packages-private/soak/src/soakFleet.ts
+++ b/packages-private/soak/src/soakFleet.ts
@@ -4,7 +4,7 @@
   FakeStore,
   StoreMode,
 } from '@lilacledge/platform-standins';
-import type {StandinNode} from '@lilacledge/platform-standins';
+import type {TestNodeSettings} from '@lilacledge/platform-standins';
 import {assertNever, sleep, systemClock} from '@lilacledge/shared';
 import {SMALL_CONFIG} from './bulkFaults.js';
 import type {BulkSettings} from './bulkFaults.js';
@@ -205,7 +205,7 @@
     }
   }
 
-  private startProgram(role: Program['role'], node: StandinNode): Program {
+  private startProgram(role: Program['role'], node: TestNodeSettings): Program {
     const {ledger} = this;
     return new Program(
       role,
@@ -224,7 +224,7 @@
     name: string,
     zone: string,
     seeds: readonly string[],
-  ): Promise<StandinNode> {
+  ): Promise<TestNodeSettings> {
     const port = await this.ports.take();
     const {bytesPerMs} = this.bulk;
     this.storeProxies.push(
@@ -330,7 +330,7 @@
         return pick(this.endpointHosts, target).startAnnouncingLeave();
       case 'endpointAsksRest':
         return pick(this.endpointHosts, target).startAnnouncing({
-          rest: String(what.restS),
+          retryAfter: String(what.restS),
         });
       case 'configChange':
         this.writeNextConfig(1 + (target % 3));
@@ -371,7 +371,7 @@
     this.store.mode = mode;
     return () => {
       // A later fault of the store stays active.
-      if (this.store.mode === mode) this.store.mode = StoreMode.WELL;
+      if (this.store.mode === mode) this.store.mode = StoreMode.NORMAL;
     };
   }
 }
--- a/packages-private/soak/src/soakLoad.ts
+++ b/packages-private/soak/src/soakLoad.ts
@@ -1,5 +1,9 @@
 import {Agent} from 'node:http';
-import {ask, draftHeaders, probePath} from '@lilacledge/platform-standins';
+import {
+  sendRequest,
+  draftHeaders,
+  probePath,
+} from '@lilacledge/platform-standins';
 import type {ClientAnswer} from '@lilacledge/platform-standins';
 import {sleep, systemClock} from '@lilacledge/shared';
 import type {Random} from '@lilacledge/shared';
@@ -138,15 +142,15 @@
     const common = {id, agent, signal};
     switch (kind) {
       case RequestKind.DRAFT:
-        return ask(entry.url, '/draft/', {
+        return sendRequest(entry.url, '/draft/', {
           ...common,
           body: 'prompt',
           headers: draftHeaders(events),
         });
       case RequestKind.BOOKING:
-        return ask(entry.url, '/book/', {...common, body: 'drum 7'});
+        return sendRequest(entry.url, '/book/', {...common, body: 'drum 7'});
       case RequestKind.LOOKUP:
-        return ask(entry.url, '/look/', common);
+        return sendRequest(entry.url, '/look/', common);
     }
   }
 
@@ -156,7 +160,7 @@
       const id = `${this.prefix}-deadly-${this.nextId++}`;
       const entry = this.drawEntry();
       this.noteSent(id, RequestKind.DRAFT, entry);
-      await ask(entry.url, '/draft/', {
+      await sendRequest(entry.url, '/draft/', {
         id,
         body: DEADLY_BODY,
         headers: draftHeaders(1),
@@ -174,7 +178,7 @@
       const {entries} = this.fleet;
       const entry = entries[Math.floor(random() * entries.length)]!;
       this.noteSent(id, RequestKind.DRAFT, entry);
-      const answer = await ask(entry.url, '/draft/', {
+      const answer = await sendRequest(entry.url, '/draft/', {
         id,
         body: 'prompt',
         headers: draftHeaders(MAX_EVENTS),
@@ -216,7 +220,7 @@
   async serves(entry: SoakEntry, version: number): Promise<boolean> {
     const id = `${this.prefix}-probe-${this.nextId++}`;
     this.noteSent(id, RequestKind.LOOKUP, entry);
-    const answer = await ask(entry.url, probePath(version), {
+    const answer = await sendRequest(entry.url, probePath(version), {
       id,
       headers: {},
       signal: AbortSignal.timeout(2_000),
