--- a/packages-private/measure/src/measurePolicy.ts
+++ b/packages-private/measure/src/measurePolicy.ts
@@ -117,7 +117,7 @@
   return trace.map((request, index) => {
     const replayed: ReplayedRequest = {request, caller: undefined};
     rig.clock.after(request.atMs, () => {
-      replayed.caller = rig.ask(entries[index % entries.length]!, {
+      replayed.caller = rig.generate(entries[index % entries.length]!, {
         organisation: request.organisation,
         outputTokens: request.outputTokens,
         promptTokens: request.promptTokens,
--- a/packages-private/rig/src/__tests__/generationFaults.test.ts
+++ b/packages-private/rig/src/__tests__/generationFaults.test.ts
@@ -55,7 +55,7 @@
   }
 
   it('is complete and leaves no open request at the entry', async () => {
-    const caller = rig.ask('entry-1', {outputTokens: 30});
+    const caller = rig.generate('entry-1', {outputTokens: 30});
     await advanceUntilEnded(caller);
     expect(caller.end.kind).toBe('complete');
     expect(rig.entries.get('entry-1')!.entry.openRequests).toBe(0);
@@ -63,7 +63,7 @@
 
   describe('the engine', () => {
     it('crashes before the first token: another one serves the request', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 30});
+      const caller = rig.generate('entry-1', {outputTokens: 30});
       await rig.clock.advanceUntil(() => {
         try {
           return findServingSidecar(rig, caller) !== '';
@@ -80,7 +80,7 @@
     it.each([1, 29])(
       'crashes after %i tokens: the stream ends at once with an error',
       async (count) => {
-        const caller = rig.ask('entry-1', {outputTokens: 30});
+        const caller = rig.generate('entry-1', {outputTokens: 30});
         await advanceUntilTokens(caller, count);
         const crashMs = rig.clock.nowMs();
         rig.sidecars.get(findServingSidecar(rig, caller))!.engine!.die();
@@ -97,7 +97,7 @@
     );
 
     it('hangs with its sockets open: the stream fails after the idle timeout', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 30});
+      const caller = rig.generate('entry-1', {outputTokens: 30});
       await advanceUntilTokens(caller, 5);
       rig.sidecars.get(findServingSidecar(rig, caller))!.engine!.isFrozen =
         true;
@@ -108,7 +108,7 @@
 
   describe('the link', () => {
     it('closes in mid-stream: the same generation continues', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 200});
+      const caller = rig.generate('entry-1', {outputTokens: 200});
       await advanceUntilTokens(caller, 50);
       const target = rig.sidecars.get(findServingSidecar(rig, caller))!;
       rig.network.endLinks(target.address);
@@ -118,7 +118,7 @@
     });
 
     it('closes twice in mid-stream: the same generation continues', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 400});
+      const caller = rig.generate('entry-1', {outputTokens: 400});
       for (const count of [50, 150]) {
         await advanceUntilTokens(caller, count);
         const target = rig.sidecars.get(findServingSidecar(rig, caller))!;
@@ -129,7 +129,7 @@
     });
 
     it('stalls with the socket open and recovers: the stream is complete', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 2_000});
+      const caller = rig.generate('entry-1', {outputTokens: 2_000});
       await advanceUntilTokens(caller, 50);
       const target = rig.sidecars.get(findServingSidecar(rig, caller))!;
       rig.network.stall(target.address);
@@ -140,7 +140,7 @@
     });
 
     it('stalls permanently with the socket open: the stream fails', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 2_000});
+      const caller = rig.generate('entry-1', {outputTokens: 2_000});
       await advanceUntilTokens(caller, 50);
       rig.network.stall(
         rig.sidecars.get(findServingSidecar(rig, caller))!.address,
@@ -154,7 +154,7 @@
     it.each([LinkWay.TO_SIDECAR, LinkWay.TO_ENTRY])(
       'stalls in direction %s only: no token is lost or duplicated',
       async (way) => {
-        const caller = rig.ask('entry-1', {outputTokens: 1_500});
+        const caller = rig.generate('entry-1', {outputTokens: 1_500});
         await advanceUntilTokens(caller, 50);
         const target = rig.sidecars.get(findServingSidecar(rig, caller))!;
         rig.network.stall(target.address, [way]);
@@ -167,7 +167,7 @@
 
     it('delivers messages twice: no token is duplicated', async () => {
       const callers = [1, 2, 3].map(() =>
-        rig.ask('entry-1', {outputTokens: 200}),
+        rig.generate('entry-1', {outputTokens: 200}),
       );
       await advanceUntilTokens(callers[0]!, 20);
       for (const {address} of rig.sidecars.values()) {
@@ -178,7 +178,7 @@
     });
 
     it('is cut permanently: the stream ends with an error', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 2_000});
+      const caller = rig.generate('entry-1', {outputTokens: 2_000});
       await advanceUntilTokens(caller, 50);
       rig.network.cut(
         rig.sidecars.get(findServingSidecar(rig, caller))!.address,
@@ -191,7 +191,7 @@
     });
 
     it('is cut before the first token: another endpoint serves the request', async () => {
-      const caller = rig.ask('entry-1', {
+      const caller = rig.generate('entry-1', {
         outputTokens: 30,
         promptTokens: 4_000,
       });
@@ -206,7 +206,7 @@
 
   it('gets only its own tokens when many callers share a link', async () => {
     const callers = Array.from({length: 60}, (_, index) =>
-      rig.ask('entry-1', {outputTokens: 3 + ((index * 37) % 90)}),
+      rig.generate('entry-1', {outputTokens: 3 + ((index * 37) % 90)}),
     );
     await advanceUntilEnded(...callers);
     expect(new Set(callers.map(({end}) => end.kind))).toEqual(
@@ -215,7 +215,7 @@
   });
 
   it('delivers no late tokens once its caller has disconnected', async () => {
-    const caller = rig.ask('entry-1', {outputTokens: 2_000});
+    const caller = rig.generate('entry-1', {outputTokens: 2_000});
     await advanceUntilTokens(caller, 50);
     const target = rig.sidecars.get(findServingSidecar(rig, caller))!;
     rig.network.stall(target.address, [LinkWay.TO_ENTRY]);
@@ -223,14 +223,14 @@
     caller.disconnect();
     const receivedCount = caller.texts.length;
     rig.network.heal(target.address);
-    const next = rig.ask('entry-1', {outputTokens: 100});
+    const next = rig.generate('entry-1', {outputTokens: 100});
     await advanceUntilEnded(next);
     expect(next.end.kind).toBe('complete');
     expect(caller.texts).toHaveLength(receivedCount);
   });
 
   it('continues at a new entry when both entries are killed and the caller resumes', async () => {
-    const caller = rig.ask('entry-1', {outputTokens: 900});
+    const caller = rig.generate('entry-1', {outputTokens: 900});
     await advanceUntilTokens(caller, 50);
     rig.killEntry('entry-1');
     rig.killEntry('entry-2');
@@ -243,7 +243,7 @@
 
   describe('the sidecar', () => {
     it('is killed in mid-stream: the stream fails', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 500});
+      const caller = rig.generate('entry-1', {outputTokens: 500});
       await advanceUntilTokens(caller, 50);
       rig.killSidecar(findServingSidecar(rig, caller));
       await advanceUntilEnded(caller);
@@ -251,7 +251,7 @@
     });
 
     it('is killed and restarted: it does not know the generation, and the stream fails', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 500});
+      const caller = rig.generate('entry-1', {outputTokens: 500});
       await advanceUntilTokens(caller, 50);
       const id = findServingSidecar(rig, caller);
       rig.killSidecar(id);
@@ -266,7 +266,7 @@
 
   describe('the entry', () => {
     it('is killed: the caller resumes at the other one', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 500});
+      const caller = rig.generate('entry-1', {outputTokens: 500});
       await advanceUntilTokens(caller, 50);
       rig.killEntry('entry-1');
       await rig.clock.advance(500);
@@ -276,7 +276,7 @@
     });
 
     it('still streams while the caller resumes at the other one: the older stream is superseded', async () => {
-      const caller = rig.ask('entry-1', {outputTokens: 500});
+      const caller = rig.generate('entry-1', {outputTokens: 500});
       await advanceUntilTokens(caller, 50);
       const other = {...caller, texts: [...caller.texts], ends: 0};
       rig.callers.push(other);
@@ -288,7 +288,7 @@
   });
 
   it('cannot be resumed by another organisation', async () => {
-    const caller = rig.ask('entry-1', {outputTokens: 500});
+    const caller = rig.generate('entry-1', {outputTokens: 500});
     await advanceUntilTokens(caller, 50);
     const otherCaller = {
       ...caller,
@@ -305,7 +305,7 @@
   });
 
   it('is cancelled when its caller does not resume within the grace time', async () => {
-    const caller = rig.ask('entry-1', {outputTokens: 20_000});
+    const caller = rig.generate('entry-1', {outputTokens: 20_000});
     await advanceUntilTokens(caller, 50);
     const target = rig.sidecars.get(findServingSidecar(rig, caller))!;
     caller.disconnect();
--- a/packages-private/rig/src/__tests__/killSteps.test.ts
+++ b/packages-private/rig/src/__tests__/killSteps.test.ts
@@ -29,7 +29,7 @@
     async (id) => {
       for (const killMs of KILL_TIMES_MS) {
         const rig = await createFleet();
-        const caller = rig.ask('entry-1', {outputTokens: 3});
+        const caller = rig.generate('entry-1', {outputTokens: 3});
         await rig.clock.advance(killMs);
         rig.killSidecar(id);
         await rig.clock.advanceUntil(() => caller.end.kind !== 'open');
--- a/packages-private/rig/src/__tests__/leaving.test.ts
+++ b/packages-private/rig/src/__tests__/leaving.test.ts
@@ -39,7 +39,7 @@
 
   function startGenerations(count: number, outputTokens: number): Caller[] {
     return Array.from({length: count}, (_, index) =>
-      rig.ask(`entry-${1 + (index % 2)}`, {outputTokens}),
+      rig.generate(`entry-${1 + (index % 2)}`, {outputTokens}),
     );
   }
 
@@ -145,7 +145,7 @@
       void entry.shutdown();
       expect(entry.isReady).toBe(false);
       await rig.clock.advance(1_000);
-      const late = rig.ask('entry-1', {outputTokens: 5});
+      const late = rig.generate('entry-1', {outputTokens: 5});
       await advanceUntilEnded([...callers, late]);
       expect(distinctStates([...callers, late])).toEqual(['complete']);
     });
@@ -184,7 +184,7 @@
     fleet.addEntry('entry-1', 'calamba');
     await fleet.applyConfig(rigConfig());
     await fleet.settle();
-    const caller = fleet.ask('entry-1', {outputTokens: 5_000});
+    const caller = fleet.generate('entry-1', {outputTokens: 5_000});
     await fleet.clock.advance(500);
     void fleet.sidecars.get('engine-1')!.sidecar.shutdown();
     await advanceUntilEnded([caller]);
--- a/packages-private/rig/src/__tests__/retries.test.ts
+++ b/packages-private/rig/src/__tests__/retries.test.ts
@@ -18,7 +18,7 @@
     const engines = ENGINES.map((id) => rig.sidecars.get(id)!.engine!);
     for (const engine of engines) engine.die();
     for (let index = 0; index < REQUESTS; index++) {
-      rig.ask(`entry-${1 + (index % 2)}`, {outputTokens: 5});
+      rig.generate(`entry-${1 + (index % 2)}`, {outputTokens: 5});
       await rig.clock.advance(20);
     }
     await rig.clock.advanceUntil(() =>
@@ -41,11 +41,11 @@
     await rig.applyConfig(rigConfig());
     await rig.settle();
     for (let index = 0; index < 80; index++) {
-      rig.ask('entry-1', {outputTokens: 400});
+      rig.generate('entry-1', {outputTokens: 400});
       await rig.clock.advance(100);
     }
     const sentMs = rig.clock.nowMs();
-    const late = rig.ask('entry-1', {outputTokens: 5, maxQueueMs: 1});
+    const late = rig.generate('entry-1', {outputTokens: 5, maxQueueMs: 1});
     await rig.clock.advanceUntil(() => late.end.kind !== 'open');
     expect(late.endedMs - sentMs).toBeLessThan(50);
     expect(late.end).toMatchObject({
--- a/packages-private/rig/src/faultSequence.ts
+++ b/packages-private/rig/src/faultSequence.ts
@@ -73,7 +73,7 @@
   private applyStep(step: FaultStep): void {
     switch (step.kind) {
       case 'generate':
-        this.rig.ask(this.readyEntryId(step.entryIndex), {
+        this.rig.generate(this.readyEntryId(step.entryIndex), {
           outputTokens: step.tokens,
         });
         return;
--- a/packages-private/rig/src/rig.ts
+++ b/packages-private/rig/src/rig.ts
@@ -162,7 +162,7 @@
   }
 
   /** Requests a generation at an entry. */
-  ask(entryId: string, options: GenerateOptions = {}): Caller {
+  generate(entryId: string, options: GenerateOptions = {}): Caller {
     const target = this.entries.get(entryId)!;
     const requestId = `request-${++this.requests}`;
     const organisation = options.organisation ?? 'clark-yard';
