--- a/packages-private/localstack/src/freePort.ts
+++ b/packages-private/localstack/src/freePort.ts
@@ -15,7 +15,7 @@
 let nextOffset = 0;
 
 /** Finds a port of the loopback interface that nothing listens on. */
-export async function freePort(): Promise<number> {
+export async function findFreePort(): Promise<number> {
   for (let attempt = 0; attempt < PORTS_PER_BLOCK; attempt++) {
     const port = blockStart + (nextOffset++ % PORTS_PER_BLOCK);
     if (await isFree(port)) return port;
--- a/packages-private/localstack/src/index.ts
+++ b/packages-private/localstack/src/index.ts
@@ -6,7 +6,7 @@
   StreamedAnswer,
 } from './callers.js';
 export type {Child} from './childProcess.js';
-export {freePort, isFree} from './freePort.js';
+export {findFreePort, isFree} from './freePort.js';
 export {
   LOCAL_OPERATOR_KEY,
   localApiKey,
--- a/packages-private/localstack/src/localStack.ts
+++ b/packages-private/localstack/src/localStack.ts
@@ -12,7 +12,7 @@
 import {request} from 'undici';
 import {startChild} from './childProcess.js';
 import type {Child} from './childProcess.js';
-import {freePort} from './freePort.js';
+import {findFreePort} from './freePort.js';
 
 const HOST = '127.0.0.1';
 const LINK_KEY = 'local-link-key-0123456789';
@@ -71,7 +71,7 @@
    * Starts the platform stand-in. Call it first: all other processes need it.
    */
   async startPlatform(): Promise<void> {
-    const port = await freePort();
+    const port = await findFreePort();
     await this.spawnStandin('platform', 'platform', port, []);
     this.platformUrl = `http://${HOST}:${port}`;
   }
@@ -83,7 +83,7 @@
     constants: Partial<EngineConstants> = {},
     extra: ExtraSettings = {},
   ): Promise<SidecarProcess> {
-    const port = await freePort();
+    const port = await findFreePort();
     const endpoint = await this.spawnStandin(
       `${instanceId}-engine`,
       'engine',
@@ -96,7 +96,7 @@
       service,
       zone,
       kind: 'engine',
-      port: await freePort(),
+      port: await findFreePort(),
       endpointUrl,
       extra,
     });
@@ -108,7 +108,7 @@
     zone: string,
     extra: ExtraSettings = {},
   ): Promise<SidecarProcess> {
-    const port = await freePort();
+    const port = await findFreePort();
     const endpoint = await this.spawnStandin(
       `${instanceId}-plain`,
       'plain',
@@ -120,7 +120,7 @@
       service,
       zone,
       kind: 'plain',
-      port: await freePort(),
+      port: await findFreePort(),
       endpointUrl: `http://${HOST}:${port}`,
       extra,
     });
@@ -131,7 +131,7 @@
     name: string,
     constants: Partial<EngineConstants>,
   ): Promise<{readonly url: string; readonly child: Child}> {
-    const port = await freePort();
+    const port = await findFreePort();
     const child = await this.spawnStandin(name, 'engine', port, [
       JSON.stringify(constants),
     ]);
@@ -141,7 +141,7 @@
   /**
    * Starts a sidecar for a running engine, which several sidecars may share.
    */
-  async startSidecarAt(
+  async startSidecarForEngine(
     instanceId: string,
     service: string,
     zone: string,
@@ -153,7 +153,7 @@
       service,
       zone,
       kind: 'engine',
-      port: await freePort(),
+      port: await findFreePort(),
       endpointUrl: engine.url,
       extra,
     });
@@ -170,7 +170,7 @@
     extra: ExtraSettings = {},
     wantedPort?: number,
   ): Promise<StackProcess> {
-    const port = wantedPort ?? (await freePort());
+    const port = wantedPort ?? (await findFreePort());
     const settings = {
       role: 'entry',
       ...this.commonSettings(instanceId, zone, port),
--- a/packages-private/measure/src/measurePolicy.ts
+++ b/packages-private/measure/src/measurePolicy.ts
@@ -136,7 +136,7 @@
       case 'none':
         return;
       case 'killed':
-        engine!.die();
+        engine!.crash();
         rig.killSidecar('engine-1');
         return;
       case 'slow':
--- a/packages-private/measure/src/processes/localFleet.ts
+++ b/packages-private/measure/src/processes/localFleet.ts
@@ -56,7 +56,7 @@
   await stack.startPlatform();
   const engine = await stack.startEngine('engine', options.constants);
   const sidecars = await startInGroups(options.sidecars, (index) =>
-    stack.startSidecarAt(`sidecar-${index}`, 'llm', 'zone-a', engine),
+    stack.startSidecarForEngine(`sidecar-${index}`, 'llm', 'zone-a', engine),
   );
   const entries = await startInGroups(options.entries, (index) =>
     stack.startEntry(`entry-${index}`, 'zone-a', {linksPerService: 4_096}),
--- a/packages-private/rig/src/__tests__/generationFaults.test.ts
+++ b/packages-private/rig/src/__tests__/generationFaults.test.ts
@@ -72,7 +72,7 @@
         }
       });
       const first = findServingSidecar(rig, caller);
-      rig.sidecars.get(first)!.engine!.die();
+      rig.sidecars.get(first)!.engine!.crash();
       await advanceUntilEnded(caller);
       expect(caller.end.kind).toBe('complete');
     });
@@ -83,7 +83,7 @@
         const caller = rig.generate('entry-1', {outputTokens: 30});
         await advanceUntilTokens(caller, count);
         const crashMs = rig.clock.nowMs();
-        rig.sidecars.get(findServingSidecar(rig, caller))!.engine!.die();
+        rig.sidecars.get(findServingSidecar(rig, caller))!.engine!.crash();
         await advanceUntilEnded(caller);
         expect(caller.end).toMatchObject({
           kind: 'failed',
--- a/packages-private/rig/src/__tests__/retries.test.ts
+++ b/packages-private/rig/src/__tests__/retries.test.ts
@@ -16,7 +16,7 @@
     await rig.applyConfig(rigConfig());
     await rig.settle();
     const engines = ENGINES.map((id) => rig.sidecars.get(id)!.engine!);
-    for (const engine of engines) engine.die();
+    for (const engine of engines) engine.crash();
     for (let index = 0; index < REQUESTS; index++) {
       rig.generate(`entry-${1 + (index % 2)}`, {outputTokens: 5});
       await rig.clock.advance(20);
@@ -24,7 +24,10 @@
     await rig.clock.advanceUntil(() =>
       rig.callers.every((caller) => caller.end.kind === 'failed'),
     );
-    const attempts = engines.reduce((sum, engine) => sum + engine.attempts, 0);
+    const attempts = engines.reduce(
+      (sum, engine) => sum + engine.attemptCount,
+      0,
+    );
     expect(attempts).toBeGreaterThan(REQUESTS);
     expect(attempts / REQUESTS).toBeLessThan(MAX_AMPLIFICATION);
     expect(checkRun(rig)).toEqual([]);
--- a/packages-private/rig/src/faultSequence.ts
+++ b/packages-private/rig/src/faultSequence.ts
@@ -192,8 +192,8 @@
 
   private crashEngine(id: string): void {
     const {engine} = this.rig.sidecars.get(id)!;
-    engine?.die();
-    engine?.revive();
+    engine?.crash();
+    engine?.restart();
   }
 
   private toggleLostAnswers(id: string): void {
--- a/packages-private/soak/src/__tests__/loopbackProxy.test.ts
+++ b/packages-private/soak/src/__tests__/loopbackProxy.test.ts
@@ -1,6 +1,6 @@
 import {createServer} from 'node:http';
 import type {Server} from 'node:http';
-import {freePort} from '@lilacledge/localstack';
+import {findFreePort} from '@lilacledge/localstack';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 import {LoopbackProxy} from '../loopbackProxy.js';
 import type {LinkFault} from '../loopbackProxy.js';
@@ -11,7 +11,7 @@
 
 beforeEach(async () => {
   requestCount = 0;
-  const port = await freePort();
+  const port = await findFreePort();
   server = createServer((_request, response) => {
     requestCount++;
     response.end('well');
@@ -19,7 +19,7 @@
   await new Promise<void>((resolve) => {
     server.listen(port, '127.0.0.1', resolve);
   });
-  proxy = new LoopbackProxy(await freePort(), () => port);
+  proxy = new LoopbackProxy(await findFreePort(), () => port);
 });
 
 afterEach(() => {
--- a/packages-private/soak/src/__tests__/programEnds.test.ts
+++ b/packages-private/soak/src/__tests__/programEnds.test.ts
@@ -5,7 +5,7 @@
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 import {fileURLToPath} from 'node:url';
-import {freePort} from '@lilacledge/localstack';
+import {findFreePort} from '@lilacledge/localstack';
 import {nodeSettingsText} from '@lilacledge/platform-standins';
 import {afterEach, beforeAll, beforeEach, describe, expect, it} from 'vitest';
 
@@ -48,8 +48,8 @@
 
 beforeEach(async () => {
   folder = mkdtempSync(join(tmpdir(), 'lilacledge-ends-'));
-  firstPort = await freePort();
-  linkPort = await freePort();
+  firstPort = await findFreePort();
+  linkPort = await findFreePort();
   output = '';
 });
 
@@ -59,13 +59,14 @@
 });
 
 async function settingsText(role: string): Promise<string> {
-  const address = async (): Promise<string> => `127.0.0.1:${await freePort()}`;
+  const address = async (): Promise<string> =>
+    `127.0.0.1:${await findFreePort()}`;
   const isEntry = role === 'entry';
   return nodeSettingsText({
     name: `${role}-1`,
     zone: 'north',
     isFirstStart: true,
-    store: {host: '127.0.0.1', port: await freePort()},
+    store: {host: '127.0.0.1', port: await findFreePort()},
     firstPort,
     seeds: [],
     graceS: 1,
--- a/packages-private/standins/src/engineModel.ts
+++ b/packages-private/standins/src/engineModel.ts
@@ -64,7 +64,7 @@
     producedTokens: 0,
   };
   /** All submitted requests, including those that a crashed engine refused. */
-  attempts = 0;
+  attemptCount = 0;
   /** Prompts of all accepted generations, by request id. */
   readonly prompts = new Map<string, string>();
   /**
@@ -98,7 +98,7 @@
       producedTokens: 0,
       prefillTokensLeft: 0,
     };
-    this.attempts++;
+    this.attemptCount++;
     if (this.isCrashed) {
       sink.onBroken('the engine has crashed and was not restarted');
       return () => {};
@@ -123,7 +123,7 @@
    * Fails all generations and refuses new ones until `restart`, as a killed
    * process does.
    */
-  die(): void {
+  crash(): void {
     this.isCrashed = true;
     const jobs = [...this.running, ...this.waiting];
     this.running = [];
@@ -131,7 +131,7 @@
     for (const job of jobs) job.sink.onBroken('the engine crashed');
   }
 
-  revive(): void {
+  restart(): void {
     this.isCrashed = false;
   }
 
--- a/packages/relay/src/peers/__tests__/peerMesh.test.ts
+++ b/packages/relay/src/peers/__tests__/peerMesh.test.ts
@@ -1,6 +1,6 @@
 import {createServer} from 'node:http';
 import type {Server} from 'node:http';
-import {freePort} from '@lilacledge/localstack';
+import {findFreePort} from '@lilacledge/localstack';
 import {systemClock} from '@lilacledge/shared';
 import {afterEach, beforeEach, describe, expect, it} from 'vitest';
 import {silentLog} from '../../log/boundedLog.js';
@@ -17,7 +17,7 @@
   servers = [];
   addresses = [];
   for (let index = 0; index < 3; index++) {
-    addresses.push({host: '127.0.0.1', port: await freePort()});
+    addresses.push({host: '127.0.0.1', port: await findFreePort()});
   }
 });
 
