--- a/packages-private/soak/src/__tests__/goneLedger.test.ts
+++ b/packages-private/soak/src/__tests__/disconnectLedger.test.ts
@@ -1,5 +1,5 @@
 import {beforeEach, describe, expect, it} from 'vitest';
-import {DisconnectLedger} from '../goneLedger.js';
+import {DisconnectLedger} from '../disconnectLedger.js';
 
 const LEFT_MS = 1_000;
 
--- a/packages-private/soak/src/ledger.ts
+++ b/packages-private/soak/src/ledger.ts
@@ -4,7 +4,7 @@
 import {DeadlineLedger} from './deadlineLedger.js';
 import {DeadlyLedger} from './deadlyLedger.js';
 import {DenialLedger} from './denialLedger.js';
-import {DisconnectLedger} from './goneLedger.js';
+import {DisconnectLedger} from './disconnectLedger.js';
 import {LeaveLedger} from './leaveLedger.js';
 import {LimitLedger} from './limitLedger.js';
 import {RepeatLedger} from './repeatLedger.js';
--- a/packages-private/soak/src/limitLedger.ts
+++ b/packages-private/soak/src/limitLedger.ts
@@ -1,4 +1,4 @@
-import {InformedEntries} from './toldEntries.js';
+import {InformedEntries} from './informedEntries.js';
 
 /** The requirements bound the requests in any window by the rate, an overshoot and a slack. */
 export const LIMIT_WINDOW_MS = 4_000;
--- a/packages-private/soak/src/saidLeaveLedger.ts
+++ b/packages-private/soak/src/saidLeaveLedger.ts
@@ -1,5 +1,5 @@
 import {DRAIN_MS} from './leaveLedger.js';
-import {InformedEntries} from './toldEntries.js';
+import {InformedEntries} from './informedEntries.js';
 
 /** Allows for processes that wait for the CPU of a busy machine. */
 const CPU_WAIT_MS = 250;
--- a/packages/entry/src/http/callerApi.ts
+++ b/packages/entry/src/http/callerApi.ts
@@ -19,8 +19,8 @@
   CompletionFormatter,
   CompletionKind,
   parseCompletionBody,
-} from './completionForm.js';
-import type {CompletionBody} from './completionForm.js';
+} from './completionFormat.js';
+import type {CompletionBody} from './completionFormat.js';
 import {toProblemResponse} from './problem.js';
 import {toFullResponse, toStreamResponse} from './streamResponse.js';
 
--- a/packages/entry/src/http/streamResponse.ts
+++ b/packages/entry/src/http/streamResponse.ts
@@ -1,7 +1,7 @@
 import {formatEventId} from '@lilacledge/protocol';
 import {FailureKind, mayHaveRun} from '@lilacledge/shared';
 import type {StreamEvent} from '../callerRequest.js';
-import type {CompletionFormatter} from './completionForm.js';
+import type {CompletionFormatter} from './completionFormat.js';
 import {toProblem, toProblemResponse} from './problem.js';
 
 /**
--- a/packages/lilacledge/src/commands/fleetCommands.ts
+++ b/packages/lilacledge/src/commands/fleetCommands.ts
@@ -1,8 +1,8 @@
 import {createReadStream} from 'node:fs';
 import type {Command} from 'commander';
-import {readLogLines} from '../explain/decisionLines.js';
-import type {LogLine} from '../explain/decisionLines.js';
-import {buildRequestTimeline} from '../explain/tellStory.js';
+import {readLogLines} from '../explain/logLines.js';
+import type {LogLine} from '../explain/logLines.js';
+import {buildRequestTimeline} from '../explain/requestTimeline.js';
 import {ExitCode} from './exitCode.js';
 import {createOperatorClient} from './operatorClient.js';
 import type {ConnectionOptions} from './operatorClient.js';
--- a/packages/lilacledge/src/explain/__tests__/operationsPage.test.ts
+++ b/packages/lilacledge/src/explain/__tests__/operationsPage.test.ts
@@ -1,8 +1,8 @@
 import {createReadStream, readFileSync} from 'node:fs';
 import {fileURLToPath} from 'node:url';
 import {describe, expect, it} from 'vitest';
-import {readLogLines} from '../decisionLines.js';
-import {buildRequestTimeline} from '../tellStory.js';
+import {readLogLines} from '../logLines.js';
+import {buildRequestTimeline} from '../requestTimeline.js';
 
 const docs = fileURLToPath(new URL('../../../../../docs/', import.meta.url));
 const page = readFileSync(`${docs}OPERATIONS.md`, 'utf8');
--- a/packages/lilacledge/src/explain/__tests__/tellStory.test.ts
+++ b/packages/lilacledge/src/explain/__tests__/requestTimeline.test.ts
@@ -1,7 +1,7 @@
 import {Readable} from 'node:stream';
 import {describe, expect, it} from 'vitest';
-import {parseLogLine, readLogLines} from '../decisionLines.js';
-import {buildRequestTimeline} from '../tellStory.js';
+import {parseLogLine, readLogLines} from '../logLines.js';
+import {buildRequestTimeline} from '../requestTimeline.js';
 
 const LOG = [
   '1.26 edge-1 {"timeMs":1000,"level":"info","instance":"edge-1","event":"generation.chosen","request":"r1","endpoint":"e1","score":300}',
--- a/packages/lilacledge/src/explain/tellStory.ts
+++ b/packages/lilacledge/src/explain/requestTimeline.ts
@@ -1,4 +1,4 @@
-import type {LogLine} from './decisionLines.js';
+import type {LogLine} from './logLines.js';
 
 /** Time before and after a request from which endpoint lines are included. */
 const CONTEXT_MS = 2_000;
--- a/packages/policy/src/__tests__/decisionsFuzz.test.ts
+++ b/packages/policy/src/__tests__/decisionsFuzz.test.ts
@@ -4,17 +4,17 @@
 import {CallTimes} from '../callTimes.js';
 import {DrainRate} from '../drainRate.js';
 import {EnginePace} from '../enginePace.js';
-import {isCertainToFinish, isLikelyToFinish} from '../lastGeneration.js';
+import {isCertainToFinish, isLikelyToFinish} from '../shutdownGeneration.js';
 import {
   expiredKeptUntilMs,
   lastResortUntilMs,
   storeWatchTimeoutMs,
 } from '../leaveBound.js';
-import {PassiveHealth} from '../outcomeHealth.js';
+import {PassiveHealth} from '../passiveHealth.js';
 import {decideRoom} from '../roomWait.js';
 import {mostAtRisk} from '../runOutlook.js';
 import {RetryBudgets} from '../retryBudgets.js';
-import {decideWithoutConfig, decideWithoutEndpoint} from '../viewForecast.js';
+import {decideWithoutConfig, decideWithoutEndpoint} from '../missingView.js';
 import {compareWaiting} from '../waitingOrder.js';
 import type {QueuePosition} from '../waitingOrder.js';
 import {batchDelayMs, ViewState} from '../watchPace.js';
--- a/packages/policy/src/__tests__/viewForecast.test.ts
+++ b/packages/policy/src/__tests__/missingView.test.ts
@@ -1,7 +1,7 @@
 import {createRandom} from '@lilacledge/shared';
 import {describe, expect, it} from 'vitest';
-import {decideWithoutConfig, decideWithoutEndpoint} from '../viewForecast.js';
-import type {ViewFacts} from '../viewForecast.js';
+import {decideWithoutConfig, decideWithoutEndpoint} from '../missingView.js';
+import type {ViewFacts} from '../missingView.js';
 
 const HEARTBEAT_MS = 1_200;
 const middle = (): number => 0.5;
--- a/packages/policy/src/__tests__/outcomeHealth.test.ts
+++ b/packages/policy/src/__tests__/passiveHealth.test.ts
@@ -1,6 +1,6 @@
 import {beforeEach, describe, expect, it} from 'vitest';
-import {PassiveHealth} from '../outcomeHealth.js';
-import type {Doubt} from '../outcomeHealth.js';
+import {PassiveHealth} from '../passiveHealth.js';
+import type {Doubt} from '../passiveHealth.js';
 
 let doubts: Doubt[];
 let health: PassiveHealth;
--- a/packages/policy/src/__tests__/crashWitness.test.ts
+++ b/packages/policy/src/__tests__/plannedExit.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {isPlannedExit, isChosenForTrial} from '../crashWitness.js';
+import {isPlannedExit, isChosenForTrial} from '../plannedExit.js';
 
 describe('isPlannedExit', () => {
   it.each([
--- a/packages/policy/src/__tests__/lastGeneration.test.ts
+++ b/packages/policy/src/__tests__/shutdownGeneration.test.ts
@@ -1,8 +1,8 @@
 import {createRandom} from '@lilacledge/shared';
 import {describe, expect, it} from 'vitest';
 import {EnginePace} from '../enginePace.js';
-import {isCertainToFinish, isLikelyToFinish} from '../lastGeneration.js';
-import type {ShutdownGeneration} from '../lastGeneration.js';
+import {isCertainToFinish, isLikelyToFinish} from '../shutdownGeneration.js';
+import type {ShutdownGeneration} from '../shutdownGeneration.js';
 
 /*
  * Guards against an entry that starts generations during its shutdown and interrupts them:
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -20,8 +20,8 @@
   MAX_QUARANTINE_MS,
 } from './crashSuspicions.js';
 export type {CrashReport, CrashVerdict, Suspicion} from './crashSuspicions.js';
-export {isPlannedExit, isChosenForTrial} from './crashWitness.js';
-export type {EndpointExit} from './crashWitness.js';
+export {isPlannedExit, isChosenForTrial} from './plannedExit.js';
+export type {EndpointExit} from './plannedExit.js';
 export {DrainRate} from './drainRate.js';
 export {EnginePace} from './enginePace.js';
 export {estimateTokens} from './estimateTokens.js';
@@ -53,8 +53,8 @@
 export {chooseNextRead} from './bulkReads.js';
 export type {BulkAnswer, NextRead} from './bulkReads.js';
 export type {StoreRecovery} from './leaveBound.js';
-export {isCertainToFinish, isLikelyToFinish} from './lastGeneration.js';
-export type {ShutdownGeneration} from './lastGeneration.js';
+export {isCertainToFinish, isLikelyToFinish} from './shutdownGeneration.js';
+export type {ShutdownGeneration} from './shutdownGeneration.js';
 export {ringSuccessors, ringCount} from './linkRings.js';
 export {LengthEstimator, LengthModel} from './lengthModel.js';
 export type {SurvivalEstimate} from './lengthModel.js';
@@ -65,8 +65,8 @@
 export type {TrialCandidate} from './suspectPlace.js';
 export {queueKey} from './queueOrder.js';
 export type {QueueRule, WaitingGeneration} from './queueOrder.js';
-export {DoubtCause, PassiveHealth, NO_RESPONSE_LIMIT} from './outcomeHealth.js';
-export type {Doubt} from './outcomeHealth.js';
+export {DoubtCause, PassiveHealth, NO_RESPONSE_LIMIT} from './passiveHealth.js';
+export type {Doubt} from './passiveHealth.js';
 export {prefixBlocks, PrefixHints} from './prefixHints.js';
 export {mostAtRisk} from './runOutlook.js';
 export type {RunOutlook} from './runOutlook.js';
@@ -88,12 +88,12 @@
   LimitReporter,
   PeerLimitReport,
 } from './statedLimit.js';
-export type {RetryCountBucket} from './repeatUse.js';
+export type {RetryCountBucket} from './retryCounts.js';
 export {drawRetryAfter} from './returnTime.js';
 export {decideRoom} from './roomWait.js';
 export type {RoomDecision, RoomRequest} from './roomWait.js';
-export {decideWithoutConfig, decideWithoutEndpoint} from './viewForecast.js';
-export type {ViewDecision, ViewFacts} from './viewForecast.js';
+export {decideWithoutConfig, decideWithoutEndpoint} from './missingView.js';
+export type {ViewDecision, ViewFacts} from './missingView.js';
 export {batchDelayMs, ViewState} from './watchPace.js';
 export {compareWaiting} from './waitingOrder.js';
 export type {QueuePosition} from './waitingOrder.js';
--- a/packages/policy/src/retryBudgets.ts
+++ b/packages/policy/src/retryBudgets.ts
@@ -3,7 +3,7 @@
 import type {BudgetSharing, RetryAllowance} from './sharedRetryBudget.js';
 import {PeakEntryCount} from './sharerCount.js';
 import type {FleetView} from './sharerCount.js';
-import type {RetryCountBucket} from './repeatUse.js';
+import type {RetryCountBucket} from './retryCounts.js';
 
 /**
  * If others last heard from an entry longer than this before its restart, it may have taken
--- a/packages/policy/src/sharedRetryBudget.ts
+++ b/packages/policy/src/sharedRetryBudget.ts
@@ -1,6 +1,6 @@
 import type {Clock} from '@lilacledge/shared';
-import {RetryCounts} from './repeatUse.js';
-import type {RetryCountBucket} from './repeatUse.js';
+import {RetryCounts} from './retryCounts.js';
+import type {RetryCountBucket} from './retryCounts.js';
 
 /** Share of the allowance that retries use, as reports between entries arrive with delay. */
 const RETRY_SHARE = 0.85;
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,12 +1,12 @@
 export {decodeMessage, encodeMessage} from './codec.js';
 export {ConfigCache} from './configCache.js';
 export type {AdoptResult} from './configCache.js';
-export {authenticateEntry, authenticateSidecar} from './greeting.js';
+export {authenticateEntry, authenticateSidecar} from './handshake.js';
 export type {
   EntryIdentity,
   HandshakeResult,
   SidecarIdentity,
-} from './greeting.js';
+} from './handshake.js';
 export type {
   Link,
   LinkAddress,
@@ -17,6 +17,6 @@
 export {LinkWay, MemoryNetwork} from './memoryLink.js';
 export {PROTOCOL_VERSION, SidecarState} from './messages.js';
 export type * from './messages.js';
-export {createStreamTag, parseEventId, formatEventId} from './resumeToken.js';
-export type {ResumePoint} from './resumeToken.js';
+export {createStreamTag, parseEventId, formatEventId} from './eventId.js';
+export type {ResumePoint} from './eventId.js';
 export {acceptWsLinks, createWsDialer, MAX_FRAME_BYTES} from './wsLink.js';
--- a/packages/relay/src/__tests__/entryView.ts
+++ b/packages/relay/src/__tests__/entryView.ts
@@ -1,13 +1,13 @@
 import {createRandom, VirtualClock} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
-import type {ActiveConfig} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/activeConfig.js';
 import type {RouteTable} from '../config/routeTable.js';
 import {chooseForCall} from '../endpoints/chooseEndpoint.js';
 import {EndpointDirectory} from '../endpoints/endpointDirectory.js';
 import {ViewGate} from '../endpoints/viewGate.js';
 import {ZoneEvacuations} from '../endpoints/zoneEvacuations.js';
-import {startStoreSync} from '../followStore.js';
-import type {StoreSync, StoreSyncOptions} from '../followStore.js';
+import {startStoreSync} from '../storeSync.js';
+import type {StoreSync, StoreSyncOptions} from '../storeSync.js';
 import {silentLog} from '../log/boundedLog.js';
 import {EndpointState} from '../model/index.js';
 import type {EndpointRecord} from '../model/index.js';
--- a/packages/relay/src/__tests__/evacuationBound.test.ts
+++ b/packages/relay/src/__tests__/evacuationBound.test.ts
@@ -4,7 +4,7 @@
 import {SMALL_DEPLOYMENT_BOUNDS, createSettledView} from './entryView.js';
 import type {Bounds, EntryView} from './entryView.js';
 import {Reachability} from './scriptedStore.js';
-import {SlowLink} from './smallLink.js';
+import {SlowLink} from './slowLink.js';
 
 /*
  * Guards against requests to an evacuated zone after the bound: 179 and 1,426 requests were sent
--- a/packages/relay/src/__tests__/headOfLine.test.ts
+++ b/packages/relay/src/__tests__/headOfLine.test.ts
@@ -2,7 +2,7 @@
 import {afterEach, describe, expect, it} from 'vitest';
 import {SMALL_DEPLOYMENT_BOUNDS, createSettledView} from './entryView.js';
 import type {Bounds, EntryView} from './entryView.js';
-import {SlowLink} from './smallLink.js';
+import {SlowLink} from './slowLink.js';
 
 /*
  * Guards against head-of-line blocking of registrations by large configurations. Entries on
--- a/packages/relay/src/__tests__/scriptedStore.ts
+++ b/packages/relay/src/__tests__/scriptedStore.ts
@@ -11,7 +11,7 @@
   StorePage,
   StoreReply,
 } from '../ports.js';
-import type {SlowLink} from './smallLink.js';
+import type {SlowLink} from './slowLink.js';
 
 /** How the store treats new calls of the process under test. */
 export const Reachability = {
--- a/packages/relay/src/config/__tests__/configFollower.test.ts
+++ b/packages/relay/src/config/__tests__/configWatcher.test.ts
@@ -7,7 +7,7 @@
   StoreItem,
   StoreReply,
 } from '../../ports.js';
-import {ConfigWatcher} from '../configFollower.js';
+import {ConfigWatcher} from '../configWatcher.js';
 
 const KEY = 'settings/all';
 const WAIT_MS = 1_800;
--- a/packages/relay/src/config/__tests__/storeMirror.test.ts
+++ b/packages/relay/src/config/__tests__/storeWatcher.test.ts
@@ -8,8 +8,8 @@
   StorePage,
   StoreReply,
 } from '../../ports.js';
-import {StoreWatcher} from '../storeMirror.js';
-import type {PrefixHandler} from '../storeMirror.js';
+import {StoreWatcher} from '../storeWatcher.js';
+import type {PrefixHandler} from '../storeWatcher.js';
 
 /** Time after which the client gives up an unanswered call. */
 const READ_TIMEOUT_MS = 1_500;
--- a/packages/relay/src/config/configFollower.ts
+++ b/packages/relay/src/config/configWatcher.ts
@@ -10,7 +10,7 @@
   StoreItem,
 } from '../ports.js';
 import {Gate} from './gate.js';
-import type {PrefixHandler} from './storeMirror.js';
+import type {PrefixHandler} from './storeWatcher.js';
 import {
   describeStoreFailure,
   listAllPages,
--- a/packages/relay/src/createRelayEntry.ts
+++ b/packages/relay/src/createRelayEntry.ts
@@ -9,11 +9,11 @@
 import type {RetryAllowance} from '@lilacledge/policy';
 import {sleep} from '@lilacledge/shared';
 import type {Clock, ClockGap, Random} from '@lilacledge/shared';
-import {ActiveConfig} from './config/configKeeper.js';
-import {instrumentStore} from './config/countedStore.js';
+import {ActiveConfig} from './config/activeConfig.js';
+import {instrumentStore} from './config/instrumentedStore.js';
 import {SendLimits} from './endpoints/sendLimits.js';
 import {EndpointDirectory} from './endpoints/endpointDirectory.js';
-import {EndpointAnnouncements} from './endpoints/endpointStatements.js';
+import {EndpointAnnouncements} from './endpoints/endpointAnnouncements.js';
 import {ZoneEvacuations} from './endpoints/zoneEvacuations.js';
 import {ViewGate} from './endpoints/viewGate.js';
 import {ZoneLoads} from './endpoints/zoneLoads.js';
@@ -25,7 +25,7 @@
 import {EntryPeers} from './peers/entryPeers.js';
 import {keepRegistered} from './peers/membership.js';
 import type {MetadataStore, WireCodec} from './ports.js';
-import {startStoreSync} from './followStore.js';
+import {startStoreSync} from './storeSync.js';
 import {PerService} from './perService.js';
 import {
   addEntryGauges,
--- a/packages/relay/src/createRelaySidecar.ts
+++ b/packages/relay/src/createRelaySidecar.ts
@@ -15,7 +15,7 @@
 import type {MetadataStore, WireCodec} from './ports.js';
 import type {OwnedRun} from './evacuation/linkGrants.js';
 import {EngineCommitments} from './sidecar/engineCommitments.js';
-import {EngineIncarnation} from './sidecar/engineLife.js';
+import {EngineIncarnation} from './sidecar/engineIncarnation.js';
 import {EntryLinks} from './sidecar/entryLinks.js';
 import {ReportPacer} from './sidecar/reportPacer.js';
 import {createSidecarMetrics} from './sidecarMetrics.js';
--- a/packages/relay/src/endpoints/__tests__/saidLeaves.test.ts
+++ b/packages/relay/src/endpoints/__tests__/announcedLeaves.test.ts
@@ -5,7 +5,7 @@
 import {EndpointState} from '../../model/index.js';
 import type {Endpoint} from '../endpoint.js';
 import {EndpointDirectory} from '../endpointDirectory.js';
-import {EndpointAnnouncements} from '../endpointStatements.js';
+import {EndpointAnnouncements} from '../endpointAnnouncements.js';
 
 const DRAIN_MS = 2_000;
 const STARTED_AT_MS = 1_700_000_000_000;
--- a/packages/relay/src/endpoints/__tests__/limitNews.test.ts
+++ b/packages/relay/src/endpoints/__tests__/limitReports.test.ts
@@ -4,7 +4,7 @@
 import {testRecord} from '../../__tests__/testRecord.js';
 import {silentLog} from '../../log/boundedLog.js';
 import {EndpointDirectory} from '../endpointDirectory.js';
-import {EndpointAnnouncements} from '../endpointStatements.js';
+import {EndpointAnnouncements} from '../endpointAnnouncements.js';
 
 const NO_LIMIT: LimitAnnouncement = {kind: 'none'};
 
--- a/packages/relay/src/endpoints/__tests__/registrations.test.ts
+++ b/packages/relay/src/endpoints/__tests__/registrations.test.ts
@@ -1,8 +1,8 @@
 import {VirtualClock} from '@lilacledge/shared';
 import {beforeEach, describe, expect, it} from 'vitest';
 import {testRecord} from '../../__tests__/testRecord.js';
-import {ConfigSource} from '../../config/configKeeper.js';
-import type {ConfigListener} from '../../config/configKeeper.js';
+import {ConfigSource} from '../../config/activeConfig.js';
+import type {ConfigListener} from '../../config/activeConfig.js';
 import type {RouteTable} from '../../config/routeTable.js';
 import {silentLog} from '../../log/boundedLog.js';
 import type {EndpointRecord} from '../../model/index.js';
--- a/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
+++ b/packages/relay/src/endpoints/__tests__/sendLimits.test.ts
@@ -7,7 +7,7 @@
 import {SendLimits} from '../sendLimits.js';
 import type {Endpoint} from '../endpoint.js';
 import {EndpointDirectory} from '../endpointDirectory.js';
-import {EndpointAnnouncements} from '../endpointStatements.js';
+import {EndpointAnnouncements} from '../endpointAnnouncements.js';
 import {ZoneEvacuations} from '../zoneEvacuations.js';
 
 const WARM_UP = {durationMs: 4_000, ratePerS: 8};
--- a/packages/relay/src/endpoints/endpoint.ts
+++ b/packages/relay/src/endpoints/endpoint.ts
@@ -6,7 +6,7 @@
 import type {EndpointLoad} from '../ports.js';
 import {ALL_ON} from '../switches.js';
 import type {Switches} from '../switches.js';
-import {AnnouncedState} from './endpointTerms.js';
+import {AnnouncedState} from './announcedState.js';
 import {NO_EVACUATIONS} from './zoneEvacuations.js';
 import type {ZoneAvailability} from './zoneEvacuations.js';
 
--- a/packages/relay/src/endpoints/lives.ts
+++ b/packages/relay/src/endpoints/lives.ts
@@ -4,7 +4,7 @@
 import {EndpointState, formatAddress} from '../model/index.js';
 import type {EndpointRecord} from '../model/index.js';
 import type {Endpoint} from './endpoint.js';
-import {AnnouncedState} from './endpointTerms.js';
+import {AnnouncedState} from './announcedState.js';
 
 /**
  * How long an incarnation is remembered after it is gone, so that a late registration
--- a/packages/relay/src/endpoints/registrations.ts
+++ b/packages/relay/src/endpoints/registrations.ts
@@ -1,4 +1,4 @@
-import type {ActiveConfig} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/activeConfig.js';
 import type {Logger} from '../log/boundedLog.js';
 import type {EndpointRecord} from '../model/index.js';
 import type {StoreItem, WireCodec} from '../ports.js';
--- a/packages/relay/src/endpoints/sendLimits.ts
+++ b/packages/relay/src/endpoints/sendLimits.ts
@@ -2,7 +2,7 @@
 import type {Clock} from '@lilacledge/shared';
 import type {WarmUp} from '../model/index.js';
 import type {Endpoint} from './endpoint.js';
-import type {AnnouncedState} from './endpointTerms.js';
+import type {AnnouncedState} from './announcedState.js';
 
 /** The configured rate for cold endpoints is per second. */
 const COLD_WINDOW_MS = 1_000;
--- a/packages/relay/src/peers/__tests__/loadLooks.test.ts
+++ b/packages/relay/src/peers/__tests__/loadQueries.test.ts
@@ -2,7 +2,7 @@
 import {beforeEach, describe, expect, it} from 'vitest';
 import {Endpoint} from '../../endpoints/endpoint.js';
 import {testRecord} from '../../__tests__/testRecord.js';
-import {LoadQueries} from '../loadLooks.js';
+import {LoadQueries} from '../loadQueries.js';
 import type {Peer} from '../peerMesh.js';
 
 const PROMPT = {requestId: 'r', promptTokens: 100};
--- a/packages/relay/src/peers/__tests__/memberNews.test.ts
+++ b/packages/relay/src/peers/__tests__/membershipNotifier.test.ts
@@ -1,7 +1,7 @@
 import {createRandom, VirtualClock} from '@lilacledge/shared';
 import {Packr} from 'msgpackr';
 import {beforeEach, describe, expect, it} from 'vitest';
-import {MembershipNotifier} from '../memberNews.js';
+import {MembershipNotifier} from '../membershipNotifier.js';
 import type {Member} from '../membership.js';
 import type {Peer} from '../peerMesh.js';
 import {PeerRole} from '../peerMessages.js';
--- a/packages/relay/src/peers/passedOnNews.ts
+++ b/packages/relay/src/peers/broadcastUpdates.ts
@@ -1,5 +1,5 @@
 import type {PeerLimitReport} from '@lilacledge/policy';
-import type {ActiveConfig} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/activeConfig.js';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import type {RelayContext} from '../requests/relayContext.js';
 import type {PeerMessage} from './peerMessages.js';
--- a/packages/relay/src/peers/entryPeers.ts
+++ b/packages/relay/src/peers/entryPeers.ts
@@ -1,8 +1,8 @@
 import type {Server} from 'node:http';
 import {assertNever, sleep} from '@lilacledge/shared';
 import type {CancelTimer} from '@lilacledge/shared';
-import {ConfigSource} from '../config/configKeeper.js';
-import type {ActiveConfig} from '../config/configKeeper.js';
+import {ConfigSource} from '../config/activeConfig.js';
+import type {ActiveConfig} from '../config/activeConfig.js';
 import type {Endpoint} from '../endpoints/endpoint.js';
 import {LeaveSource} from '../endpoints/endpoint.js';
 import type {Evacuator} from '../evacuation/evacuator.js';
@@ -10,7 +10,7 @@
 import type {EndpointAddress} from '../model/index.js';
 import type {RelayContext} from '../requests/relayContext.js';
 import type {ActiveRun, RunListener} from '../requests/runRegistry.js';
-import {CrossZoneLinks} from './borrowedLinks.js';
+import {CrossZoneLinks} from './crossZoneLinks.js';
 import {PeerConfigFetcher} from './configFetch.js';
 import {CopyReservations} from './copyReservations.js';
 import {
@@ -18,18 +18,18 @@
   entriesToDial,
   hasPartialView,
 } from './linkPlan.js';
-import {LoadQueries} from './loadLooks.js';
-import type {QueriedPrompt} from './loadLooks.js';
-import {MembershipNotifier} from './memberNews.js';
+import {LoadQueries} from './loadQueries.js';
+import type {QueriedPrompt} from './loadQueries.js';
+import {MembershipNotifier} from './membershipNotifier.js';
 import type {Member} from './membership.js';
 import {MemberView} from './memberView.js';
 import {ownZoneLoads} from './ownZoneLoads.js';
-import {broadcastUpdates, knownState} from './passedOnNews.js';
+import {broadcastUpdates, knownState} from './broadcastUpdates.js';
 import {PeerMesh} from './peerMesh.js';
 import type {Peer} from './peerMesh.js';
 import {PeerRole} from './peerMessages.js';
 import type {EngineLoadReport, PeerMessage} from './peerMessages.js';
-import {applyUpdate} from './receivedNews.js';
+import {applyUpdate} from './receivedUpdates.js';
 
 /** How often the loads of this zone's engines are sent to entries of other zones. */
 const ZONE_LOAD_INTERVAL_MS = 400;
--- a/packages/relay/src/requests/awaitView.ts
+++ b/packages/relay/src/requests/awaitAvailability.ts
@@ -1,10 +1,10 @@
 import {decideWithoutConfig, decideWithoutEndpoint} from '@lilacledge/policy';
 import {alwaysHalf, sleep} from '@lilacledge/shared';
 import type {Random} from '@lilacledge/shared';
-import type {ActiveConfig} from '../config/configKeeper.js';
+import type {ActiveConfig} from '../config/activeConfig.js';
 import type {RouteTable} from '../config/routeTable.js';
 import type {CallerExchange} from './callerExchange.js';
-import {hasAllowedRegion, isInAllowedRegion} from './permittedPlaces.js';
+import {hasAllowedRegion, isInAllowedRegion} from './permittedEndpoints.js';
 import type {RelayContext} from './relayContext.js';
 
 /** Something that a request needs is not known to this process yet; the caller should retry. */
--- a/packages/relay/src/requests/callSends.ts
+++ b/packages/relay/src/requests/callSends.ts
@@ -15,9 +15,9 @@
 } from './callOutcome.js';
 import type {CallOutcome} from './callOutcome.js';
 import {attemptAt} from './endpointAttempt.js';
-import {canSendTo, sendLimitRetryMs} from './permittedPlaces.js';
+import {canSendTo, sendLimitRetryMs} from './permittedEndpoints.js';
 import type {RelayContext} from './relayContext.js';
-import {takeRetry} from './takeRepeat.js';
+import {takeRetry} from './takeRetry.js';
 
 /** Maximum size of an answer of a non-streaming service, which is buffered as a whole. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
--- a/packages/relay/src/requests/generationAdmission.ts
+++ b/packages/relay/src/requests/generationAdmission.ts
@@ -18,7 +18,7 @@
 import type {EngineTraits, GenerationSize} from '../model/index.js';
 import type {CallerExchange, Urgency} from './callerExchange.js';
 import type {WaiterOutlook} from './admissionQueue.js';
-import {canSendTo, sendLimitRetryMs} from './permittedPlaces.js';
+import {canSendTo, sendLimitRetryMs} from './permittedEndpoints.js';
 import {engineUseContext} from './relayContext.js';
 import type {RelayContext} from './relayContext.js';
 
--- a/packages/relay/src/requests/handoverPlace.ts
+++ b/packages/relay/src/requests/handoverTarget.ts
@@ -3,10 +3,10 @@
 import type {SendPermit} from '../endpoints/sendLimits.js';
 import type {MemorySource} from '../ports.js';
 import type {CallerExchange} from './callerExchange.js';
-import {isInAllowedRegion} from './permittedPlaces.js';
+import {isInAllowedRegion} from './permittedEndpoints.js';
 import type {RelayContext} from './relayContext.js';
 import type {ActiveRun} from './runRegistry.js';
-import {takeContinuation} from './takeRepeat.js';
+import {takeContinuation} from './takeRetry.js';
 
 /** Maximum wait until the destinations of a stopped run are known. */
 const HANDOVER_TIMEOUT_MS = 1_500;
--- a/packages/relay/src/requests/permittedPlaces.ts
+++ b/packages/relay/src/requests/permittedEndpoints.ts
@@ -1,6 +1,6 @@
 import {isAllowedRegion, drawRetryAfter} from '@lilacledge/policy';
 import type {Endpoint} from '../endpoints/endpoint.js';
-import {retryAfterRandom} from './awaitView.js';
+import {retryAfterRandom} from './awaitAvailability.js';
 import type {AllowedRequest} from './callerExchange.js';
 import type {RelayContext} from './relayContext.js';
 
--- a/packages/relay/src/requests/relayCall.ts
+++ b/packages/relay/src/requests/relayCall.ts
@@ -1,6 +1,6 @@
 import {assertNever} from '@lilacledge/shared';
 import {answerWithText, forwardAnswer, Status} from './answerCaller.js';
-import {awaitEndpoint} from './awaitView.js';
+import {awaitEndpoint} from './awaitAvailability.js';
 import {AbortCause} from './callerExchange.js';
 import type {CallerExchange} from './callerExchange.js';
 import {isSuccess} from './callOutcome.js';
--- a/packages/relay/src/requests/relayGeneration.ts
+++ b/packages/relay/src/requests/relayGeneration.ts
@@ -5,7 +5,7 @@
 import type {EngineTraits, GenerationSize} from '../model/index.js';
 import type {BrokenSend} from '../suspicions/requestSuspicions.js';
 import {abortAnswer} from './answerCaller.js';
-import {awaitEndpoint} from './awaitView.js';
+import {awaitEndpoint} from './awaitAvailability.js';
 import {AbortCause} from './callerExchange.js';
 import type {CallerExchange} from './callerExchange.js';
 import {CallerStream} from './callerStream.js';
@@ -15,14 +15,14 @@
 import {GenerationAdmission} from './generationAdmission.js';
 import {answerFailure} from './generationEnd.js';
 import type {SegmentEnd} from './generationEnd.js';
-import {takeHandover} from './handoverPlace.js';
-import type {SegmentStart} from './handoverPlace.js';
+import {takeHandover} from './handoverTarget.js';
+import type {SegmentStart} from './handoverTarget.js';
 import {OutputMeter} from './outputMeter.js';
-import {isInAllowedRegion} from './permittedPlaces.js';
+import {isInAllowedRegion} from './permittedEndpoints.js';
 import {quarantineRefusal} from './quarantine.js';
 import type {RelayContext} from './relayContext.js';
 import {ActiveRun} from './runRegistry.js';
-import {hasRetryBudget, takeRetry} from './takeRepeat.js';
+import {hasRetryBudget, takeRetry} from './takeRetry.js';
 
 /** Maximum number of rejected sends of one request. */
 const MAX_REJECTED_SENDS = 5;
--- a/packages/relay/src/followStore.ts
+++ b/packages/relay/src/storeSync.ts
@@ -1,11 +1,11 @@
 import {batchDelayMs, storeWatchTimeoutMs} from '@lilacledge/policy';
 import type {Clock, Random} from '@lilacledge/shared';
-import {ConfigWatcher} from './config/configFollower.js';
-import type {ConfigWatcherOptions} from './config/configFollower.js';
-import {ConfigSource} from './config/configKeeper.js';
-import type {ActiveConfig} from './config/configKeeper.js';
-import {StoreWatcher} from './config/storeMirror.js';
-import type {WatchTiming, PrefixHandler} from './config/storeMirror.js';
+import {ConfigWatcher} from './config/configWatcher.js';
+import type {ConfigWatcherOptions} from './config/configWatcher.js';
+import {ConfigSource} from './config/activeConfig.js';
+import type {ActiveConfig} from './config/activeConfig.js';
+import {StoreWatcher} from './config/storeWatcher.js';
+import type {WatchTiming, PrefixHandler} from './config/storeWatcher.js';
 import type {EndpointDirectory} from './endpoints/endpointDirectory.js';
 import {Registrations} from './endpoints/registrations.js';
 import type {ViewGate} from './endpoints/viewGate.js';
--- a/packages/relay/src/suspicions/storedSuspicions.ts
+++ b/packages/relay/src/suspicions/storedSuspicions.ts
@@ -3,7 +3,7 @@
 import {sleep} from '@lilacledge/shared';
 import type {Clock} from '@lilacledge/shared';
 import {describeStoreFailure} from '../config/storeReads.js';
-import type {PrefixHandler} from '../config/storeMirror.js';
+import type {PrefixHandler} from '../config/storeWatcher.js';
 import type {Logger} from '../log/boundedLog.js';
 import {parseSuspicion} from '../peers/suspicionMessage.js';
 import type {MetadataStore} from '../ports.js';
--- a/packages/shared/src/__tests__/suspensionClock.test.ts
+++ b/packages/shared/src/__tests__/suspensionClock.test.ts
@@ -3,7 +3,7 @@
 import {SuspensionClock} from '../suspensionClock.js';
 import type {ClockGap} from '../suspensionClock.js';
 import {VirtualClock} from '../virtualClock.js';
-import {SimulatedInstance} from '../virtualMachine.js';
+import {SimulatedInstance} from '../simulatedInstance.js';
 
 /** Resolution of the boot clock, with the time between two readings. */
 const RESOLUTION_MS = 20;
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -22,4 +22,4 @@
 export {systemClock} from './systemClock.js';
 export {isVerdict, Verdict} from './verdict.js';
 export {VirtualClock} from './virtualClock.js';
-export {SimulatedInstance} from './virtualMachine.js';
+export {SimulatedInstance} from './simulatedInstance.js';
--- a/packages/sidecar/src/engineScheduler.ts
+++ b/packages/sidecar/src/engineScheduler.ts
@@ -19,8 +19,8 @@
 import {toAdmissionRule, toQueueRule} from './policyRules.js';
 import {PromptPacer} from './promptPacer.js';
 import {RateEstimate} from './rateEstimate.js';
-import {enginePriority, isShort, toClaim} from './scheduled.js';
-import type {ScheduledGeneration} from './scheduled.js';
+import {enginePriority, isShort, toClaim} from './scheduledGeneration.js';
+import type {ScheduledGeneration} from './scheduledGeneration.js';
 
 export interface SchedulerPorts {
   readonly clock: Clock;
--- a/packages/sidecar/src/generationService.ts
+++ b/packages/sidecar/src/generationService.ts
@@ -7,7 +7,7 @@
 import type {Failure} from '@lilacledge/shared';
 import {EngineScheduler} from './engineScheduler.js';
 import {Generation} from './generation.js';
-import {GenerationRegistry} from './generationLog.js';
+import {GenerationRegistry} from './generationRegistry.js';
 import type {EnginePort} from './ports/enginePort.js';
 import {runGeneration} from './runGeneration.js';
 import type {SidecarMetrics} from './sidecarMetrics.js';
