--- a/packages/policy/src/__tests__/retryBudgets.test.ts
+++ b/packages/policy/src/__tests__/retryBudgets.test.ts
@@ -42,7 +42,7 @@
       expect(left).toBe(takeAll('b') - 1);
     });
 
-    // Guards against an entry that forgets the prior incarnation when it hears the new one first.
+    // Guards against an entry that forgets the prior incarnation if the new one reports first.
     it('survive several restarts through the entries that received its reports', async () => {
       takeAll('a');
       fleet.end('a');
--- a/packages/policy/src/leaveBound.ts
+++ b/packages/policy/src/leaveBound.ts
@@ -9,10 +9,11 @@
  *   to have had it, as responses of the store may be slow. From then on the endpoint is a
  *   last resort for `STORED_LEAVE_SHARE`; the remaining fifth is for requests in flight;
  * - a leave reported by others has no such moment and counts from when it was received;
- * - a dead watch is detected within the settling time after an outage.
+ * - a dead watch is detected within the settling time, after which the deadline applies again.
  *
  * Prevents stale membership: a process that was paused, or whose watch was cut, silent or
- * slow, would otherwise keep using its old view after the deadline.
+ * slow while other endpoints changed, would otherwise keep using its old view after the
+ * deadline.
  */
 
 import {assertNever} from '@lilacledge/shared';
--- a/packages/policy/src/retryBudgets.ts
+++ b/packages/policy/src/retryBudgets.ts
@@ -6,8 +6,8 @@
 import type {RetryCountBucket} from './retryCounts.js';
 
 /**
- * If others last heard from an entry longer than this before its restart, it may have taken
- * retries that it could not report.
+ * If the last message from an entry arrived longer than this before its restart, the entry
+ * may have taken retries that it could not report.
  */
 const MAX_UNHEARD_MS = 3_000;
 
@@ -28,7 +28,7 @@
 
 /** Reported use of prior incarnations of an entry, returned to it by another entry. */
 export interface PriorUseReport {
-  /** Time since the prior incarnation was last heard from. */
+  /** Time since the last message from the prior incarnation. */
   readonly heardAgoMs: number;
   /** The highest number of entries that the reporter saw in the window. */
   readonly entryCount: number;
@@ -56,7 +56,7 @@
 
 /**
  * The retry budgets of one entry for all services, and the use that entries report to one
- * anpeer. Each entry reports its requests and retries to the linked entries before it sends a
+ * another. Each entry reports its requests and retries to the linked entries before it sends a
  * retry; after a restart they return to it what its prior incarnation reported.
  */
 export class RetryBudgets {
@@ -140,7 +140,7 @@
     return priorUse;
   }
 
-  /** Another entry is alive; ignored before its first report, as the incarnation is unknown. */
+  /** Another entry is running; ignored before its first report, as the incarnation is unknown. */
   notePeerAlive(instance: string): void {
     const peer = this.peers.get(instance);
     if (peer?.isReporting) peer.heardAtMs = this.nowMs;
@@ -160,7 +160,7 @@
     uses,
   }: PriorUseReport): void {
     this.peakEntries.note(entryCount);
-    const news = uses.filter(({service, parts}) =>
+    const added = uses.filter(({service, parts}) =>
       this.of(service).mergePriorUse(parts),
     );
     const unheardMs = heardAgoMs - this.ageMs;
@@ -168,7 +168,7 @@
     const wasKnown = this.isPriorUseKnown;
     this.hasPriorUse ||= isTrustworthy;
     // Entries that are already linked got an incomplete report.
-    if (news.length > 0 || wasKnown !== this.isPriorUseKnown) this.emit(news);
+    if (added.length > 0 || wasKnown !== this.isPriorUseKnown) this.emit(added);
   }
 
   private get nowMs(): number {
@@ -226,7 +226,7 @@
     return {life, isComplete: this.isPriorUseKnown, uses};
   }
 
-  /** Drops entries that were not heard from for as long as their retries count. */
+  /** Drops entries that sent no message for as long as their retries count. */
   private evictStalePeers(): void {
     const oldestMs = this.nowMs - retryRetentionMs(this.allowance);
     for (const [instance, {heardAtMs, isReporting}] of this.peers) {
--- a/packages/policy/src/shutdownGeneration.ts
+++ b/packages/policy/src/shutdownGeneration.ts
@@ -15,7 +15,8 @@
  * Whether a generation is likely to complete before its process exits, given the caller's
  * estimate of the output and the pace of a slow generation.
  *
- * A refused caller can retry elsewhere at once, while an interrupted one has nothing. With
+ * Prevents work from being started during a shutdown and lost when the process exits. A
+ * refused caller can retry elsewhere at once, while an interrupted one has nothing. With
  * the median pace some outputs of the estimated length would be interrupted; allowing for
  * longer outputs too would refuse more callers than it saves.
  */
--- a/packages/policy/src/suspectPlace.ts
+++ b/packages/policy/src/suspectPlace.ts
@@ -10,8 +10,8 @@
  * Chooses the endpoint with the least work for the retry of a suspected request; undefined if
  * no endpoint can take it.
  *
- * If the request does crash endpoints, all other work of the endpoint is lost too, and the
- * crash counts towards its quarantine. A longer wait for the first event costs only the
+ * If the request does crash endpoints, all other work of the endpoint is lost too, and one
+ * more endpoint crashes before the request is quarantined. A longer wait for the first event costs only the
  * request itself, which is less likely than others to get one.
  */
 export function chooseTrialEndpoint<T extends TrialCandidate>(
--- a/packages/policy/src/watchPace.ts
+++ b/packages/policy/src/watchPace.ts
@@ -21,9 +21,9 @@
  * Pause after a response of the endpoint watch, in which further changes are batched.
  * Each response costs, so the pause is long while the view is settled.
  *
- * Prevents a slow recovery from a complete outage: with that pause also during the
- * recovery, the first endpoint to register would delay the discovery of all others, and
- * their calls would be refused meanwhile.
+ * Prevents a slow recovery from a complete outage: if the pause of a settled view applied
+ * during the recovery too, the first endpoint to register would delay the discovery of all
+ * others by that pause, and all calls would be refused meanwhile.
  */
 export function batchDelayMs(drainMs: number, view: ViewState): number {
   switch (view) {
