--- a/packages/relay/src/config/configWatcher.ts
+++ b/packages/relay/src/config/configWatcher.ts
@@ -113,7 +113,7 @@
         next = chooseNextRead(step, applyBoundMs());
         continue;
       }
-      // A call that was aborted locally says nothing about the store.
+      // A call that was aborted locally is no evidence about the store.
       if (callSignal.aborted) continue;
       next = this.readAfterFailure(step.failure, clock.nowMs() - sentMs, next);
       await sleep(clock, backoffMs(RETRY_BACKOFF, failures++, random), signal);
--- a/packages/relay/src/peers/entryPeers.ts
+++ b/packages/relay/src/peers/entryPeers.ts
@@ -164,7 +164,7 @@
     return this.loadQueries.query(endpoints, prompt);
   }
 
-  /** Tells queried engines that the prompt is not sent to them. */
+  /** Releases the prompt at queried engines to which it is not sent. */
   releaseLoads(endpoints: readonly Endpoint[], prompt: QueriedPrompt): void {
     this.loadQueries.release(endpoints, prompt);
   }
@@ -202,7 +202,8 @@
         ...planned.map(({address}) => address),
         ...this.crossZoneLinks.addresses,
       ],
-      // Links to seeds end at once: every entry starts with them, too many for a seed.
+      // Links to seeds close at once: every entry starts with them, and a seed cannot
+      // carry the links of the whole fleet.
       this.hasPlannedLinks ? UNPLANNED_LINK_TTL_MS : 0,
     );
     this.hasPlannedLinks = true;
--- a/packages/relay/src/peers/loadQueries.ts
+++ b/packages/relay/src/peers/loadQueries.ts
@@ -51,7 +51,7 @@
     );
   }
 
-  /** Tells queried engines to stop counting the prompt. */
+  /** Ends the counting of the prompt at queried engines. */
   release(endpoints: readonly Endpoint[], {requestId}: QueriedPrompt): void {
     for (const endpoint of endpoints) {
       this.sidecarOf(endpoint)?.send({type: 'loadRelease', requestId});
--- a/packages/relay/src/peers/peerMessages.ts
+++ b/packages/relay/src/peers/peerMessages.ts
@@ -167,17 +167,20 @@
   readonly type: 'zoneStatus';
 }
 
-/** The sender's knowledge of a request during which endpoints have crashed. */
+/** The crashes of endpoints during a request, as known to the sender. */
 export interface SuspicionNotice extends Suspicion {
   readonly type: 'suspicion';
 }
 
-/** Requests and retries that the sender has counted; the first on each link is complete. */
+/**
+ * Requests and retries that the sender has counted. The first message on a link has all
+ * counts.
+ */
 export interface RetryUseNotice extends RetryUseReport {
   readonly type: 'retryUse';
 }
 
-/** Retry use of the receiver's previous incarnations, as remembered by the sender. */
+/** Retry use of the receiver's previous incarnations, as kept by the sender. */
 export interface FormerRetryUse extends PriorUseReport {
   readonly type: 'formerRetryUse';
 }
--- a/packages/relay/src/relayMetrics.ts
+++ b/packages/relay/src/relayMetrics.ts
@@ -141,7 +141,10 @@
   retriesUsed(): number;
 }
 
-/** Adds gauges for the learned engine speed of each service, to compare with measured times. */
+/**
+ * Adds gauges for the learned pace of the engines of each service, to compare with
+ * measured times.
+ */
 export function addPaceGauge(
   metrics: RelayMetrics,
   paces: () => Iterable<[string, EnginePace]>,
--- a/packages/relay/src/sidecar/reportedPace.ts
+++ b/packages/relay/src/sidecar/reportedPace.ts
@@ -10,7 +10,7 @@
   readonly memoryTokens: number;
 }
 
-/** Learns an engine's output speed from the memory growth of its runs between reports. */
+/** Learns an engine's pace from the memory growth of its runs between reports. */
 export class ReportedPace {
   private samples = new Map<string, MemorySample>();
 
--- a/packages/sidecar/src/keyedCalls.ts
+++ b/packages/sidecar/src/keyedCalls.ts
@@ -27,7 +27,7 @@
   readonly outcome: Promise<CallOutcome>;
 }
 
-/** Tells which key slots this sidecar owns. */
+/** Looks up which key slots this sidecar owns. */
 export interface SlotOwnership {
   grantOf(slot: number): SlotGrant | undefined;
   /** Records that a key of the slot was accepted. */
--- a/packages/sidecar/src/organisationUse.ts
+++ b/packages/sidecar/src/organisationUse.ts
@@ -23,7 +23,7 @@
     this.total += tokens;
   }
 
-  /** The organisation's recent output relative to an equal share among all. */
+  /** The organisation's recent output relative to an equal share of those counted. */
   relativeUse(organisationId: string): number {
     const used = this.tokens.get(organisationId) ?? 0;
     if (this.total <= 0) return 0;
--- a/packages/sidecar/src/slotOwner.ts
+++ b/packages/sidecar/src/slotOwner.ts
@@ -39,7 +39,7 @@
 
 /**
  * A slot is claimed once it was seen expired in this many consecutive rounds
- * after the first one, so that a live holder can write its grant again.
+ * after the first one, so that a running holder can write its grant again.
  */
 const EXPIRY_CONFIRMATION_ROUNDS = 3;
 
@@ -146,7 +146,7 @@
   }
 
   /**
-   * After the store was restored to an older state, a live holder finds its
+   * After the store was restored to an older state, a running holder finds its
    * record missing or outdated and writes it again. The rounds leave it time to
    * do so before another instance claims the slot.
    */
