--- a/packages/lilacledge/src/explain/__tests__/requestTimeline.test.ts
+++ b/packages/lilacledge/src/explain/__tests__/requestTimeline.test.ts
@@ -21,7 +21,7 @@
 }
 
 describe('explain', () => {
-  describe('parseDecisionLine', () => {
+  describe('parseLogLine', () => {
     it('ignores what a log collector wrote before the JSON object', () => {
       const line = parseLogLine(LOG.split('\n')[0]!);
       expect(line).toMatchObject({timeMs: 1000, event: 'generation.chosen'});
--- a/packages/policy/src/__tests__/leaveBound.test.ts
+++ b/packages/policy/src/__tests__/leaveBound.test.ts
@@ -30,7 +30,7 @@
   });
 });
 
-describe('storeWatchMs', () => {
+describe('storeWatchTimeoutMs', () => {
   it.each([2_000, 3_000, 4_000])(
     'lets a dead watch be detected within the settling time (%d ms)',
     (settleMs) => {
@@ -42,7 +42,7 @@
   );
 });
 
-describe('lapseEndsMs', () => {
+describe('expiredKeptUntilMs', () => {
   const SETTLE_MS = 3_000;
 
   it('keeps an endpoint for as long as its registration may return', () => {
--- a/packages/policy/src/__tests__/linkRings.test.ts
+++ b/packages/policy/src/__tests__/linkRings.test.ts
@@ -23,7 +23,7 @@
   return [...linksOf(after)].filter((link) => !known.has(link)).length;
 }
 
-describe('nextInRings', () => {
+describe('ringSuccessors', () => {
   it('links a member to its successor by name', () => {
     expect(ringSuccessors('b', ['a', 'b', 'c']).has('c')).toBe(true);
     expect(ringSuccessors('c', ['a', 'b', 'c']).has('a')).toBe(true);
--- a/packages/policy/src/retryBudgets.ts
+++ b/packages/policy/src/retryBudgets.ts
@@ -56,7 +56,7 @@
 
 /**
  * The retry budgets of one entry for all services, and the use that entries report to one
- * anpeer. Each entry reports its requests and retries to the linked entries before it sends a
+ * another. Each entry reports its requests and retries to the linked entries before it sends a
  * retry; after a restart they return to it what its prior incarnation reported.
  */
 export class RetryBudgets {
--- a/packages/relay/src/peers/__tests__/linkPlan.test.ts
+++ b/packages/relay/src/peers/__tests__/linkPlan.test.ts
@@ -80,7 +80,7 @@
   });
 });
 
-describe('entriesOfSidecar', () => {
+describe('entriesForSidecar', () => {
   it('returns all entries of a small fleet', () => {
     expect(entriesForSidecar('north', fleetOf(12))).toHaveLength(12);
   });
@@ -96,7 +96,7 @@
   });
 });
 
-describe('farEnginesToDial', () => {
+describe('crossZoneEnginesToDial', () => {
   const engines = Array.from({length: 170}, (_, index) => `engine-${index}`);
 
   it('returns all engines if there are few', () => {
--- a/packages/relay/src/peers/__tests__/peerMessages.test.ts
+++ b/packages/relay/src/peers/__tests__/peerMessages.test.ts
@@ -25,7 +25,7 @@
   cleared: ['e-0@3'],
 };
 
-describe('toPeerMessage', () => {
+describe('parsePeerMessage', () => {
   it('accepts valid messages', () => {
     expect(parsePeerMessage(MEMBERS)).toBe(MEMBERS);
     expect(parsePeerMessage(LOAD)).toBe(LOAD);
