--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,8 +1,8 @@
-/** Bundles the program of the users' platform into one file under target/, or another folder. */
+/** Bundles the platform program into one file in `target/`, or in the folder given as argument. */
 import {build} from 'esbuild';
 import {readdirSync} from 'node:fs';
 
-/** Packages are taken from their sources, so that a bundle needs no build. */
+/** Resolves workspace packages to their sources, so that no prior build is needed. */
 const alias = Object.fromEntries(
   readdirSync('packages').map((name) => [
     `@lilacledge/${name}`,
@@ -10,7 +10,7 @@
   ]),
 );
 
-// Its main file loads its parts by a function that a bundler does not see.
+// Its UMD main file loads modules by a wrapped `require`, which esbuild can't resolve.
 alias['jsonc-parser'] = 'jsonc-parser/lib/esm/main.js';
 
 const [outdir = 'target'] = process.argv.slice(2);
--- a/scripts/bundleProduct.mjs
+++ b/scripts/bundleProduct.mjs
@@ -1,7 +1,7 @@
 /**
- * Bundles the product's two commands. Loading their modules one by one takes
- * about 0.9 s of processor time a start, the bundles a third of it; test stacks
- * start dozens of processes.
+ * Bundles the two commands of the product. Test stacks start dozens of processes,
+ * and loading unbundled modules takes about 0.9 s of CPU time per start; a bundle
+ * takes a third of that.
  */
 import {build} from 'esbuild';
 import {rmSync} from 'node:fs';
@@ -22,11 +22,11 @@
   platform: 'node',
   target: 'node20',
   format: 'esm',
-  // Some packages' other builds load their parts by computed names.
+  // The `main` builds of some packages load modules by computed names.
   mainFields: ['module', 'main'],
   external: ['bufferutil', 'utf-8-validate'],
   logLevel: 'warning',
-  // Packages in the older module form ask for Node's own parts like this.
+  // CommonJS dependencies call `require` for built-in modules of Node.
   banner: {
     js: "import {createRequire as createRequireHere} from 'node:module'; const require = createRequireHere(import.meta.url);",
   },
--- a/scripts/checkDocs.mjs
+++ b/scripts/checkDocs.mjs
@@ -1,31 +1,31 @@
-/** Fails when a page links to a file or names a command that is not there. */
+/** Fails if a documentation page links to a missing file or names an unknown command. */
 import {execFileSync} from 'node:child_process';
 import {existsSync, readdirSync, readFileSync} from 'node:fs';
 import {dirname, join} from 'node:path';
 
 const LINK = /\]\((?!https?:|#|mailto:)([^)#\s]+)(#[^)]*)?\)/g;
 
-function pages(folder) {
+function listPages(folder) {
   return readdirSync(folder, {withFileTypes: true}).flatMap((entry) => {
     const path = join(folder, entry.name);
-    if (entry.isDirectory()) return pages(path);
+    if (entry.isDirectory()) return listPages(path);
     return entry.name.endsWith('.md') ? [path] : [];
   });
 }
 
-/** Commands that pages name must be there: `npm run X`, `lilacledge X`. */
+/** Commands in pages, which must exist: `npm run X` and `lilacledge X`. */
 const NPM_COMMAND = /npm run ([a-z:]+)/g;
 const CLI_COMMAND = /`lilacledge ((?:config )?[a-z]+)/g;
 const scripts = JSON.parse(readFileSync('package.json', 'utf8')).scripts;
 
-/** Through the link that an install makes, as a newcomer runs it. */
-function cliHelp(...args) {
+/** Runs the command by the link that `npm install` creates, as users do. */
+function readCliHelp(...args) {
   const binary = 'node_modules/.bin/lilacledge';
   return execFileSync(binary, [...args, '--help'], {encoding: 'utf8'});
 }
 
-const topHelp = cliHelp();
-const configHelp = cliHelp('config');
+const topHelp = readCliHelp();
+const configHelp = readCliHelp('config');
 
 function missingCommands(text) {
   const missing = [];
@@ -42,23 +42,23 @@
   return missing;
 }
 
-const broken = [];
-for (const page of ['README.md', 'CHANGELOG.md', ...pages('docs')]) {
+const problems = [];
+for (const page of ['README.md', 'CHANGELOG.md', ...listPages('docs')]) {
   if (!existsSync(page)) {
-    broken.push(`${page} is missing`);
+    problems.push(`${page} is missing`);
     continue;
   }
   const text = readFileSync(page, 'utf8');
   for (const command of missingCommands(text)) {
-    broken.push(`${page}: ${command} is no command`);
+    problems.push(`${page}: ${command} is no command`);
   }
   for (const match of text.matchAll(LINK)) {
     const target = join(dirname(page), match[1]);
-    if (!existsSync(target)) broken.push(`${page}: ${match[1]} is missing`);
+    if (!existsSync(target)) problems.push(`${page}: ${match[1]} is missing`);
   }
 }
-if (broken.length > 0) {
-  console.error(broken.join('\n'));
+if (problems.length > 0) {
+  console.error(problems.join('\n'));
   process.exit(1);
 }
 console.log('All links between pages hold, and all commands they name exist.');
--- a/scripts/outcomeReporter.mjs
+++ b/scripts/outcomeReporter.mjs
@@ -1,4 +1,4 @@
-/** A reporter of vitest that writes each test's outcome, for `runTests.mjs`. */
+/** Vitest reporter that writes the outcome of each test to `OUTCOMES_FILE`, for `runTests.mjs`. */
 import {writeFileSync} from 'node:fs';
 import {relative} from 'node:path';
 
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -1,39 +1,39 @@
 /**
- * Runs the tests. Those that KNOWN-RED.txt names may fail, and are printed; anything
- * else that fails, and a named test that does not, ends in failure.
+ * Runs the tests, and prints the known failures that KNOWN-RED.txt lists. Fails on any other
+ * failure, and if a listed test does not fail.
  *
- * A line of KNOWN-RED.txt: `file > describe > test | command and seed | cause | issue`.
+ * Each line of KNOWN-RED.txt is `file > describe > test | command and seed | cause | issue`.
  */
 import {spawnSync} from 'node:child_process';
 import {existsSync, mkdtempSync, readFileSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
 
-const LIST = 'KNOWN-RED.txt';
+const KNOWN_FAILURES_FILE = 'KNOWN-RED.txt';
 
-/** More open faults than this are not landed. */
-const MOST_KNOWN = 3;
+/** With more known failures than this, a change must not be merged. */
+const MAX_KNOWN_FAILURES = 3;
 
-const FIELDS = 4;
+const FIELDS_PER_LINE = 4;
 
 const chosenFiles = process.argv.slice(2);
-const known = knownRed();
+const known = readKnownFailures();
 const report = runVitest(chosenFiles);
 for (const line of known) console.log(`known red: ${line}`);
 const problems = [
-  ...problemsOfList(known),
-  ...problemsOfRun(known.map(nameOf), report),
+  ...findListProblems(known),
+  ...findRunProblems(known.map(testNameOf), report),
 ];
 for (const problem of problems) console.log(problem);
 process.exitCode = problems.length > 0 ? 1 : 0;
 
-function knownRed() {
-  if (!existsSync(LIST)) return [];
-  const lines = readFileSync(LIST, 'utf8').split('\n');
+function readKnownFailures() {
+  if (!existsSync(KNOWN_FAILURES_FILE)) return [];
+  const lines = readFileSync(KNOWN_FAILURES_FILE, 'utf8').split('\n');
   return lines.filter((line) => line.trim() !== '' && !line.startsWith('#'));
 }
 
-function nameOf(line) {
+function testNameOf(line) {
   return line.split(' | ')[0].trim();
 }
 
@@ -56,17 +56,22 @@
   return text && JSON.parse(text);
 }
 
-function problemsOfList(lines) {
+function findListProblems(lines) {
   const problems = lines
-    .filter((line) => line.split(' | ').length !== FIELDS)
-    .map((line) => `${LIST}: ${FIELDS} fields are wanted: ${line}`);
-  if (lines.length > MOST_KNOWN) {
-    problems.push(`${LIST}: ${MOST_KNOWN} lines at most`);
+    .filter((line) => line.split(' | ').length !== FIELDS_PER_LINE)
+    .map(
+      (line) =>
+        `${KNOWN_FAILURES_FILE}: ${FIELDS_PER_LINE} fields are wanted: ${line}`,
+    );
+  if (lines.length > MAX_KNOWN_FAILURES) {
+    problems.push(
+      `${KNOWN_FAILURES_FILE}: ${MAX_KNOWN_FAILURES} lines at most`,
+    );
   }
   return problems;
 }
 
-function problemsOfRun(names, report) {
+function findRunProblems(names, report) {
   if (report === undefined) return ['the tests did not run to their end'];
   const {outcomes, brokenFiles, unhandledErrors} = report;
   const problems = brokenFiles.map((file) => `failed as a whole: ${file}`);
@@ -82,7 +87,9 @@
   for (const name of names) {
     const isChosen = chosenFiles.length === 0 || name in outcomes;
     if (isChosen && outcomes[name] !== 'failed') {
-      problems.push(`${LIST} names it, and it does not fail: ${name}`);
+      problems.push(
+        `${KNOWN_FAILURES_FILE} names it, and it does not fail: ${name}`,
+      );
     }
   }
   return problems;
--- a/scripts/settingsReference.mjs
+++ b/scripts/settingsReference.mjs
@@ -1,6 +1,6 @@
 /**
- * Writes docs/settings.md from the schemas of settings and configuration; with
- * `--check` it fails when the page is not what they say.
+ * Generates docs/settings.md from the schemas of settings and configuration. With
+ * `--check`, fails if the page is out of date.
  */
 import {readFileSync, writeFileSync} from 'node:fs';
 import {
@@ -17,7 +17,7 @@
   readFileSync(`packages/config/src/${name}`, 'utf8'),
 );
 
-/** The doc comment that stands before a field in the schema's source. */
+/** Returns the doc comment of a field in the source of its schema. */
 function commentOf(field) {
   const pattern = new RegExp(`/\\*\\*((?:(?!\\*/)[\\s\\S])*)\\*/\\s*${field}:`);
   for (const source of SOURCES) {
@@ -91,7 +91,7 @@
   ].join('\n');
 }
 
-/** Switches of decisions on the users' platform, from the list in their source. */
+/** Returns the table of mechanism switches, from the list in `@lilacledge/relay`. */
 function switchTable() {
   const rows = Object.entries(MECHANISMS).map(
     ([name, meaning]) => `| \`${name}\` | \`true\` | ${meaning} |`,
--- a/scripts/startLocal.mjs
+++ b/scripts/startLocal.mjs
@@ -1,7 +1,7 @@
 /**
- * Brings the local stack up: the stand-ins, sidecars and entries of one
- * deployment, as separate processes. `npm start` runs Bayanihan's,
- * `npm start -- sutolinen` Sutolinen's. Ctrl-C ends every process.
+ * Starts a local stack: the stand-ins, sidecars and entries of one deployment, each
+ * as a process of its own. `npm start` runs the deployment of Bayanihan, and
+ * `npm start -- sutolinen` that of Sutolinen. Ctrl-C stops all processes.
  */
 import {readFileSync} from 'node:fs';
 import {randomBytes} from 'node:crypto';
@@ -78,11 +78,11 @@
     baseRevision: 0n,
     document: readFileSync(configUrl, 'utf8'),
   });
-  for (const entry of entries) await waitForStack(entry);
+  for (const entry of entries) await waitUntilServing(entry);
   return entries;
 }
 
-async function waitForStack(entry) {
+async function waitUntilServing(entry) {
   const expected = plan.engines.replicas + plan.plain.replicas;
   await waitFor(
     'serving endpoints',
--- a/scripts/withoutMechanism.mjs
+++ b/scripts/withoutMechanism.mjs
@@ -1,7 +1,8 @@
 /**
- * Shows that the proofs can fail: takes one mechanism at a time out of a copy
- * of the sources and runs the tests that prove it. Each must fail there, and
- * pass on the sources as they are. `npm run prove [-- NAME]`.
+ * Mutation test: disables one mechanism at a time in a copy of the sources and
+ * runs the test file that covers it. That must fail there, and pass on the
+ * unchanged sources. `npm run prove [-- NAME]` runs all mechanisms, or those
+ * whose name contains NAME.
  */
 import {spawnSync} from 'node:child_process';
 import {
@@ -17,7 +18,7 @@
 
 const RIG = 'packages-private/rig/src/__tests__';
 
-/** What is taken out, where, and which test must notice. */
+/** The edits that disable each mechanism, and the test file that must fail then. */
 const MECHANISMS = [
   {
     name: 'tokens are taken only at the next offset',
@@ -182,8 +183,8 @@
   },
 ];
 
-/** A test that hangs without its mechanism has noticed. */
-const TIME_LIMIT_MS = 40_000;
+/** A test run that exceeds this limit counts as failed. */
+const TEST_TIMEOUT_MS = 40_000;
 
 function runTest(folder, test) {
   const vitest = join(folder, 'node_modules/vitest/vitest.mjs');
@@ -193,7 +194,7 @@
     {
       cwd: folder,
       encoding: 'utf8',
-      timeout: TIME_LIMIT_MS,
+      timeout: TEST_TIMEOUT_MS,
       killSignal: 'SIGKILL',
       env: {...process.env, CI: 'true'},
     },
@@ -231,14 +232,14 @@
   return folder;
 }
 
-/** Applies the edits of one mechanism; returns what puts them back. */
-function takeOut(folder, mechanism) {
+/** Applies the edits of one mechanism; returns a function that reverts them. */
+function disableMechanism(folder, mechanism) {
   const {file, from, to, also, elsewhere} = mechanism;
   const edits = [{file, from, to}];
   if (also !== undefined) edits.push({file, from: also[0], to: also[1]});
   if (elsewhere !== undefined) edits.push(elsewhere);
-  const undo = edits.map((edit) => applyEdit(folder, edit));
-  return () => undo.reverse().forEach((putBack) => putBack());
+  const undoEdits = edits.map((edit) => applyEdit(folder, edit));
+  return () => undoEdits.reverse().forEach((revert) => revert());
 }
 
 function applyEdit(folder, {file, from, to}) {
@@ -257,18 +258,18 @@
   ({name}) => wanted === undefined || name.includes(wanted),
 );
 const folder = copySources();
-let isProved = true;
+let isPassed = true;
 try {
   for (const test of new Set(chosen.map((mechanism) => mechanism.test))) {
     const {isGreen, output} = runTest(folder, test);
     if (isGreen) continue;
-    isProved = false;
+    isPassed = false;
     console.log(`FAILS AS IT IS  ${test}\n${output}`);
   }
   for (const mechanism of chosen) {
-    const putBack = takeOut(folder, mechanism);
+    const revert = disableMechanism(folder, mechanism);
     const {isGreen, failed} = runTest(folder, mechanism.test);
-    putBack();
+    revert();
     const mark = isGreen
       ? 'NOT NOTICED'
       : failed > 0
@@ -277,9 +278,9 @@
     console.log(
       `${mark.padEnd(12)} without: ${mechanism.name} (${basename(mechanism.test)})`,
     );
-    if (isGreen) isProved = false;
+    if (isGreen) isPassed = false;
   }
 } finally {
   rmSync(folder, {recursive: true, force: true});
 }
-process.exit(isProved ? 0 : 1);
+process.exit(isPassed ? 0 : 1);
--- a/scripts/writeReferences.mjs
+++ b/scripts/writeReferences.mjs
@@ -1,4 +1,4 @@
-/** Writes the project references of every package from its dependencies. */
+/** Writes the tsconfig files with the project references, from the dependencies of each package. */
 import {readdirSync, readFileSync, writeFileSync} from 'node:fs';
 import {relative} from 'node:path';
 
@@ -14,7 +14,7 @@
 }));
 const folderOf = new Map(manifests.map(({name, folder}) => [name, folder]));
 
-function write(file, value) {
+function writeJson(file, value) {
   writeFileSync(file, `${JSON.stringify(value, null, 2)}\n`);
 }
 
@@ -22,7 +22,7 @@
   const references = Object.keys(dependencies ?? {})
     .filter((name) => folderOf.has(name))
     .map((name) => ({path: relative(folder, folderOf.get(name))}));
-  write(`${folder}/tsconfig.json`, {
+  writeJson(`${folder}/tsconfig.json`, {
     extends: relative(folder, 'tsconfig.base.json'),
     compilerOptions: {rootDir: 'src', outDir: 'dist'},
     include: ['src'],
@@ -31,9 +31,9 @@
   });
 }
 const references = folders.map((path) => ({path}));
-write('tsconfig.json', {
+writeJson('tsconfig.json', {
   files: [],
   references: [...references, {path: 'tsconfig.tests.json'}],
 });
 const tests = JSON.parse(readFileSync('tsconfig.tests.json', 'utf8'));
-write('tsconfig.tests.json', {...tests, references});
+writeJson('tsconfig.tests.json', {...tests, references});
